--- a/crates/gateway/src/control/links/due.rs
+++ b/crates/gateway/src/control/links/due.rs
@@ -6,7 +6,7 @@
 use pistachiochute_core::choice::load;
 use pistachiochute_core::membership::spread::Role;
 use pistachiochute_core::time;
-use pistachiochute_messages::fleet;
+use pistachiochute_messages::peer;
 use pistachiochute_runtime::clock;
 
 use crate::control::Context;
@@ -28,7 +28,7 @@
 /// What was last sent on a link.
 #[derive(Default)]
 pub(super) struct Sent {
-    known: Option<fleet::Known>,
+    known: Option<peer::StateVersion>,
     loads: Arc<Vec<load::EndpointLoad>>,
     at: time::Time,
     carried: Vec<load::EndpointLoad>,
@@ -36,7 +36,7 @@
 
 impl Sent {
     /// The status, if it is due.
-    pub(super) fn next<D, S>(&mut self, cx: &Context<D, S>) -> Option<fleet::Message>
+    pub(super) fn next<D, S>(&mut self, cx: &Context<D, S>) -> Option<peer::Message>
     where
         D: edge::Dialect,
         S: edge::Store,
@@ -53,7 +53,7 @@
         self.known = Some(known);
         self.loads = loads;
         self.at = now;
-        Some(fleet::Message::Status {
+        Some(peer::Message::Status {
             known,
             store: cx.store_calls(now),
             loads: changed,
@@ -65,7 +65,7 @@
         &mut self,
         cx: &Context<D, S>,
         name: &str,
-    ) -> Option<fleet::Message>
+    ) -> Option<peer::Message>
     where
         D: edge::Dialect,
         S: edge::Store,
@@ -87,7 +87,7 @@
             return None;
         }
         self.carried.clone_from(&carried);
-        Some(fleet::Message::Carried(carried))
+        Some(peer::Message::Carried(carried))
     }
 }
 
@@ -104,7 +104,7 @@
         &mut self,
         cx: &Context<D, S>,
         name: &Arc<str>,
-    ) -> Option<fleet::Known> {
+    ) -> Option<peer::StateVersion> {
         let now = clock::now();
         let state = cx.state.borrow();
         let known = state.peers.get(name)?.known;
--- a/crates/gateway/src/control/links/holdings.rs
+++ b/crates/gateway/src/control/links/holdings.rs
@@ -1,7 +1,7 @@
 //! What engines hold in their caches, as hosts tell each other.
 
 use pistachiochute_core::membership::spread::Role;
-use pistachiochute_messages::fleet;
+use pistachiochute_messages::peer;
 use pistachiochute_runtime::clock;
 
 use crate::control::Context;
@@ -17,12 +17,12 @@
     cx.state.borrow_mut().remember(&holdings, clock::now());
     for outbox in cx.state.borrow().outboxes.values() {
         // A host that misses it has a prompt read again at worst.
-        drop(outbox.try_send(fleet::Message::Holdings(holdings.clone())));
+        drop(outbox.try_send(peer::Message::Holdings(holdings.clone())));
     }
 }
 
 /// Takes in what endpoints hold, for this host.
-pub(in crate::control) fn take_holdings<D, S>(cx: &Context<D, S>, holdings: &[fleet::Holding]) {
+pub(in crate::control) fn take_holdings<D, S>(cx: &Context<D, S>, holdings: &[peer::CachedPart]) {
     cx.state.borrow_mut().remember(holdings, clock::now());
     for holding in holdings {
         cx.shared.heard_holdings.push(*holding);
--- a/crates/gateway/src/control/links/mod.rs
+++ b/crates/gateway/src/control/links/mod.rs
@@ -16,7 +16,7 @@
 
 use bytes::Bytes;
 use eyre::WrapErr as _;
-use pistachiochute_messages::{codec, fleet};
+use pistachiochute_messages::{codec, peer};
 use pistachiochute_runtime::clock;
 use tokio::sync::mpsc;
 
@@ -113,7 +113,7 @@
     let req = http::Request::post("http://fleet/link").body(())?;
     let (answer, mut tx) = requests.send_request(req, false).wrap_err("stream")?;
     let up = clock::now().since(cx.started).as_millis();
-    let hello = fleet::Message::Hello {
+    let hello = peer::Message::Hello {
         host: cx.state.borrow().me.clone(),
         links: cx.settings.listen.links,
         domain: cx.settings.host.domain.as_str().into(),
@@ -129,7 +129,7 @@
     result
 }
 
-fn send(tx: &mut h2::SendStream<Bytes>, message: &fleet::Message) -> eyre::Result<()> {
+fn send(tx: &mut h2::SendStream<Bytes>, message: &peer::Message) -> eyre::Result<()> {
     let frame = codec::encode(message).wrap_err("message")?;
     tx.send_data(frame, false).wrap_err("link")
 }
@@ -151,7 +151,7 @@
         .insert(name.clone(), outbox_tx);
     let holdings = cx.state.borrow().holdings(clock::now());
     if !holdings.is_empty() {
-        send(tx, &fleet::Message::Holdings(holdings))?;
+        send(tx, &peer::Message::Holdings(holdings))?;
     }
     let mut sent = Sent::default();
     let mut asking = Asking::default();
@@ -173,7 +173,7 @@
             send(tx, &carried)?;
         }
         if let Some(want) = asking.next(cx, name) {
-            send(tx, &fleet::Message::Want(want))?;
+            send(tx, &peer::Message::Want(want))?;
         }
         // A stream that was reset shows it here, whether or not there was something to send.
         if is_reset(tx) {
--- a/crates/gateway/src/control/links/receive.rs
+++ b/crates/gateway/src/control/links/receive.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pistachiochute_core::directory;
-use pistachiochute_messages::{codec, fleet};
+use pistachiochute_messages::{codec, peer};
 use pistachiochute_runtime::clock;
 
 use crate::control::links::take_holdings;
@@ -69,7 +69,7 @@
         while let Some(message) = decoder.take()? {
             match (message, &sender) {
                 (
-                    fleet::Message::Hello {
+                    peer::Message::Hello {
                         host,
                         links,
                         domain,
@@ -101,14 +101,14 @@
     }
 }
 
-fn handle<D, S>(cx: &Rc<Context<D, S>>, sender: &Arc<str>, message: fleet::Message)
+fn handle<D, S>(cx: &Rc<Context<D, S>>, sender: &Arc<str>, message: peer::Message)
 where
     D: edge::Dialect,
     S: edge::Store,
 {
     match message {
-        fleet::Message::Hello { .. } => {}
-        fleet::Message::Status {
+        peer::Message::Hello { .. } => {}
+        peer::Message::Status {
             known,
             store,
             loads,
@@ -128,17 +128,17 @@
                 cx.shared.confirm(before(store.catalog_age_ms));
             }
         }
-        fleet::Message::Carried(loads) => {
+        peer::Message::Carried(loads) => {
             cx.state.borrow_mut().digests.carried(sender, loads);
         }
-        fleet::Message::Holdings(holdings) => {
+        peer::Message::Holdings(holdings) => {
             take_holdings(cx, &holdings);
         }
-        fleet::Message::Want(known) => answer(cx, sender, known),
-        fleet::Message::Catalog(content) => {
+        peer::Message::Want(known) => answer(cx, sender, known),
+        peer::Message::Catalog(content) => {
             cx.offer_catalog(*content, events::Source::Host(sender.clone()));
         }
-        fleet::Message::Endpoints { complete, records } => {
+        peer::Message::Endpoints { complete, records } => {
             let mut any = false;
             for record in records {
                 let endpoint = record.endpoint.map(Arc::new);
@@ -159,26 +159,26 @@
 }
 
 /// Sends a host what it lacks.
-fn answer<D, S>(cx: &Rc<Context<D, S>>, host: &Arc<str>, has: fleet::Known) {
+fn answer<D, S>(cx: &Rc<Context<D, S>>, host: &Arc<str>, has: peer::StateVersion) {
     let state = cx.state.borrow();
     let Some(outbox) = state.outboxes.get(host) else {
         return;
     };
-    let mut messages: Vec<fleet::Message> = Vec::new();
+    let mut messages: Vec<peer::Message> = Vec::new();
     if let Some(catalog) = state.catalog.get()
         && Some(catalog.version()) > has.catalog
     {
-        messages.push(fleet::Message::Catalog(Box::new(catalog.content().clone())));
+        messages.push(peer::Message::Catalog(Box::new(catalog.content().clone())));
     }
     let newer = state.directory.newer_than(has.endpoints);
     let records: Vec<_> = newer
-        .map(|(key, record)| fleet::Record {
+        .map(|(key, record)| peer::EndpointRecord {
             key: key.clone(),
             revision: record.revision,
             endpoint: record.endpoint.as_deref().cloned(),
         })
         .collect();
-    messages.push(fleet::Message::Endpoints {
+    messages.push(peer::Message::Endpoints {
         complete: state.directory.complete_for_others(),
         records,
     });
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 use pistachiochute_core::{catalog, time};
-use pistachiochute_messages::fleet;
+use pistachiochute_messages::peer;
 use pistachiochute_runtime::platform::key_value;
 use pistachiochute_runtime::{clock, metrics};
 use tokio::sync::Notify;
@@ -171,9 +171,9 @@
     }
 
     /// How this host fares with its calls to the store.
-    fn store_calls(&self, now: time::Time) -> fleet::StoreCalls {
+    fn store_calls(&self, now: time::Time) -> peer::StoreHealth {
         let millis = |span: Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
-        fleet::StoreCalls {
+        peer::StoreHealth {
             catalog_age_ms: millis(self.shared.catalog_age(now)),
             steady_ms: millis(now.since(self.steady_since.get())),
             answered_ms: millis(now.since(self.answered.get())),
@@ -198,7 +198,7 @@
     }
 
     /// What this host knows.
-    fn known(&self) -> fleet::Known {
+    fn known(&self) -> peer::StateVersion {
         self.state.borrow().known()
     }
 
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -8,7 +8,7 @@
 use pistachiochute_core::choice::prefix;
 use pistachiochute_core::membership::{digest, roster, spread};
 use pistachiochute_core::{catalog, directory, time};
-use pistachiochute_messages::fleet;
+use pistachiochute_messages::peer;
 use tokio::sync::mpsc;
 
 use crate::shared;
@@ -36,9 +36,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Peer {
     /// What it knows.
-    pub known: fleet::Known,
+    pub known: peer::StateVersion,
     /// How it fares with its calls to the store.
-    pub store: fleet::StoreCalls,
+    pub store: peer::StoreHealth,
     /// When it said so.
     pub heard: time::Time,
 }
@@ -57,9 +57,9 @@
     /// Other hosts that spoke to this one.
     pub peers: HashMap<Arc<str>, Peer>,
     /// Messages to the hosts that this one has a link to.
-    pub outboxes: HashMap<Arc<str>, mpsc::Sender<fleet::Message>>,
+    pub outboxes: HashMap<Arc<str>, mpsc::Sender<peer::Message>>,
     /// Parts of prompts that endpoints hold, and when they last read them.
-    holdings: HashMap<fleet::Holding, time::Time>,
+    holdings: HashMap<peer::CachedPart, time::Time>,
     /// What other hosts told of their work.
     pub digests: digest::Digests,
     /// Place of this host among the others.
@@ -102,8 +102,8 @@
 
     /// What the host knows.
     #[must_use]
-    pub fn known(&self) -> fleet::Known {
-        fleet::Known {
+    pub fn known(&self) -> peer::StateVersion {
+        peer::StateVersion {
             catalog: self.catalog.version(),
             endpoints: self.directory.changed(),
         }
@@ -111,8 +111,8 @@
 
     /// What the host would ask another one for, which knows `known`.
     #[must_use]
-    pub fn want(&self, known: fleet::Known) -> Option<fleet::Known> {
-        let own = fleet::Known {
+    pub fn want(&self, known: peer::StateVersion) -> Option<peer::StateVersion> {
+        let own = peer::StateVersion {
             catalog: self.catalog.version(),
             endpoints: self.directory.complete(),
         };
@@ -124,8 +124,8 @@
     pub fn hear(
         &mut self,
         host: &Arc<str>,
-        known: fleet::Known,
-        store: fleet::StoreCalls,
+        known: peer::StateVersion,
+        store: peer::StoreHealth,
         now: time::Time,
     ) {
         let peer = Peer {
@@ -172,7 +172,7 @@
     }
 
     /// Remembers what endpoints hold, for hosts that come later.
-    pub fn remember(&mut self, holdings: &[fleet::Holding], now: time::Time) {
+    pub fn remember(&mut self, holdings: &[peer::CachedPart], now: time::Time) {
         self.holdings.extend(holdings.iter().map(|h| (*h, now)));
         if self.holdings.len() > MAX_HOLDINGS {
             self.holdings
@@ -182,7 +182,7 @@
 
     /// What endpoints hold.
     #[must_use]
-    pub fn holdings(&self, now: time::Time) -> Vec<fleet::Holding> {
+    pub fn holdings(&self, now: time::Time) -> Vec<peer::CachedPart> {
         let is_held = |at: &time::Time| now.since(*at) < prefix::HELD_FOR;
         let held = self.holdings.iter().filter(|(_, at)| is_held(at));
         held.map(|(holding, _)| *holding).collect()
--- a/crates/gateway/src/control/warm.rs
+++ b/crates/gateway/src/control/warm.rs
@@ -12,7 +12,7 @@
 use http::{Request, StatusCode, header};
 use http_body_util::Full;
 use pistachiochute_core::{directory, routing};
-use pistachiochute_messages::fleet;
+use pistachiochute_messages::peer;
 
 use crate::control::{Context, links};
 use crate::{call, edge, shared};
@@ -102,7 +102,7 @@
     };
     let holdings: Vec<_> = parts
         .into_iter()
-        .map(|part| fleet::Holding {
+        .map(|part| peer::CachedPart {
             part,
             endpoint: endpoint.identity.hash(),
         })
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -9,7 +9,7 @@
 use pistachiochute_core::choice::load;
 use pistachiochute_core::membership::digest;
 use pistachiochute_core::{catalog, directory, time};
-use pistachiochute_messages::fleet;
+use pistachiochute_messages::peer;
 use tokio::sync::watch;
 
 /// What the host believes, at one moment.
@@ -55,9 +55,9 @@
     other_loads: ArcSwap<digest::Works>,
     own_loads: ArcSwap<Vec<load::EndpointLoad>>,
     /// Parts of prompts that endpoints read for this host, for the others.
-    pub own_holdings: SegQueue<fleet::Holding>,
+    pub own_holdings: SegQueue<peer::CachedPart>,
     /// Parts of prompts that endpoints read for other hosts.
-    pub heard_holdings: SegQueue<fleet::Holding>,
+    pub heard_holdings: SegQueue<peer::CachedPart>,
     /// When the catalog was last known to be the newest one, in microseconds of the host's clock.
     confirmed_micros: AtomicU64,
     phase: watch::Sender<Phase>,
--- a/crates/gateway/src/traffic/fleet.rs
+++ b/crates/gateway/src/traffic/fleet.rs
@@ -11,7 +11,7 @@
 use pistachiochute_core::choice::{cost, homes, load, prefix, prompt};
 use pistachiochute_core::membership::digest;
 use pistachiochute_core::{choice, directory, entity, health, map, retry, time};
-use pistachiochute_messages::fleet;
+use pistachiochute_messages::peer;
 
 use crate::traffic::Context;
 use crate::{edge, shared};
@@ -321,7 +321,7 @@
             let news = fleet.prefixes.note(prompt, choice.endpoint, now);
             let hash = fleet.known.get(choice.endpoint).map(|known| known.hash);
             for part in news {
-                let holding = hash.map(|endpoint| fleet::Holding { part, endpoint });
+                let holding = hash.map(|endpoint| peer::CachedPart { part, endpoint });
                 holding
                     .into_iter()
                     .for_each(|h| cx.shared.own_holdings.push(h));
--- a/crates/messages/src/lib.rs
+++ b/crates/messages/src/lib.rs
@@ -6,5 +6,5 @@
 
 pub mod codec;
 pub mod control;
-pub mod fleet;
 pub mod forward;
+pub mod peer;
--- a/crates/messages/src/fleet.rs
+++ b/crates/messages/src/peer.rs
@@ -11,7 +11,7 @@
 
 /// A part of prompts that an endpoint reads, and so holds for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
-pub struct Holding {
+pub struct CachedPart {
     /// Key of the part.
     pub part: u64,
     /// Hash of the endpoint's identity.
@@ -31,7 +31,7 @@
     serde::Serialize,
     serde::Deserialize,
 )]
-pub struct Known {
+pub struct StateVersion {
     /// Version of the catalog in force.
     pub catalog: Option<catalog::Version>,
     /// Revision up to and with which all changes of the endpoints in use are known.
@@ -40,7 +40,7 @@
 
 /// One entry of the endpoints.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Record {
+pub struct EndpointRecord {
     /// Key of the entry.
     pub key: Arc<str>,
     /// Revision of its last change.
@@ -51,7 +51,7 @@
 
 /// How a host fares with its calls to the store, in milliseconds before the message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct StoreCalls {
+pub struct StoreHealth {
     /// Since when the host's catalog was known to be the newest one.
     pub catalog_age_ms: u32,
     /// Since when every call was answered.
@@ -77,9 +77,9 @@
     /// What the sender knows and does.
     Status {
         /// What the sender knows.
-        known: Known,
+        known: StateVersion,
         /// The sender's calls to the store.
-        store: StoreCalls,
+        store: StoreHealth,
         /// Work of the sender, or `None` if it is as before.
         loads: Option<Vec<load::EndpointLoad>>,
     },
@@ -88,9 +88,9 @@
     Carried(Vec<load::EndpointLoad>),
     /// Parts of prompts that endpoints began to read for the sender; on a new link, all that it
     /// knows of.
-    Holdings(Vec<Holding>),
+    Holdings(Vec<CachedPart>),
     /// Asks for what is newer than what the sender knows.
-    Want(Known),
+    Want(StateVersion),
     /// A catalog, in answer to a [`Message::Want`].
     Catalog(Box<catalog::Content>),
     /// Endpoints, in answer to a [`Message::Want`].
@@ -98,6 +98,6 @@
         /// All changes up to and with this revision are among the records, or known already.
         complete: revision::Revision,
         /// Newer records.
-        records: Vec<Record>,
+        records: Vec<EndpointRecord>,
     },
 }
