--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/adapter.rs
@@ -11,11 +11,11 @@
 
 /// What a caller says of its request, beside method, path and body.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct RequestMetadata {
     /// Id of the request, as the caller made it.
     pub id: Bytes,
     /// Time that the caller will wait.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// API key.
     pub key: Option<Bytes>,
     /// Prompt, if an engine is asked.
@@ -26,11 +26,11 @@
 
 /// What an endpoint is told with a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Call<'a> {
+pub struct CallMetadata<'a> {
     /// The endpoint that is meant.
     pub endpoint: &'a directory::Endpoint,
     /// Time until the answer is of no use.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Name of the client account.
     pub account: Option<&'a str>,
     /// Rank of the request; 0 is the most urgent.
@@ -43,7 +43,7 @@
 
 /// Load that an endpoint states of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StatedLoad {
+pub struct ReportedLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -52,7 +52,7 @@
 
 /// What the head of an endpoint's answer says.
 #[derive(Clone, Debug)]
-pub struct AnswerHead {
+pub struct ResponseMetadata {
     /// Id of the request that is answered.
     pub id: Option<Bytes>,
     /// Whether the endpoint vouches for the answer.
@@ -60,7 +60,7 @@
     /// Whether the endpoint states that it did not run the request.
     pub is_not_run: bool,
     /// Load of the endpoint.
-    pub load: Option<StatedLoad>,
+    pub load: Option<ReportedLoad>,
     /// Time for which the endpoint keeps the connection open while it is idle.
     pub idle_limit: Option<Duration>,
 }
@@ -72,16 +72,16 @@
     /// # Errors
     ///
     /// Returns a reason if the request cannot be served as it is.
-    fn ask(&self, head: &request::Parts) -> Result<Ask, reason::Refusal>;
+    fn request_metadata(&self, head: &request::Parts) -> Result<RequestMetadata, reason::Refusal>;
 
     /// Replaces what only concerns callers by what an endpoint is told.
-    fn tell_endpoint(&self, headers: &mut HeaderMap, call: &Call<'_>);
+    fn set_call_headers(&self, headers: &mut HeaderMap, call: &CallMetadata<'_>);
 
     /// Reads the head of an endpoint's answer.
-    fn answer(&self, head: &response::Parts) -> AnswerHead;
+    fn response_metadata(&self, head: &response::Parts) -> ResponseMetadata;
 
     /// Removes what does not concern callers.
-    fn tell_caller(&self, headers: &mut HeaderMap);
+    fn strip_internal_headers(&self, headers: &mut HeaderMap);
 
     /// Path of the list of cached parts of prompts, at an engine.
     fn cache_list_path(&self) -> &'static str;
@@ -91,7 +91,7 @@
     /// # Errors
     ///
     /// Returns an error if the list cannot be read.
-    fn cached_parts(&self, body: &[u8]) -> eyre::Result<Vec<u64>>;
+    fn decode_cached_parts(&self, body: &[u8]) -> eyre::Result<Vec<u64>>;
 
     /// Key of the entry that holds the catalog.
     fn catalog_key(&self) -> &'static str;
@@ -104,19 +104,19 @@
     /// # Errors
     ///
     /// Returns an error that names what cannot be read.
-    fn catalog(&self, value: &[u8]) -> eyre::Result<catalog::Content>;
+    fn decode_catalog(&self, value: &[u8]) -> eyre::Result<catalog::Content>;
 
     /// Reads the entry of an endpoint.
     ///
     /// # Errors
     ///
     /// Returns an error that names what cannot be read.
-    fn endpoint(&self, key: &str, value: &[u8]) -> eyre::Result<directory::Endpoint>;
+    fn decode_endpoint(&self, key: &str, value: &[u8]) -> eyre::Result<directory::Endpoint>;
 }
 
 /// Answer to a watch.
 #[derive(Clone, Debug)]
-pub enum Watched {
+pub enum WatchResponse {
     /// All changes after the asked revision, up to and with `revision`.
     Changes {
         /// Revision to go on from.
@@ -130,11 +130,11 @@
 
 /// How current a read is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Freshness {
+pub enum Consistency {
     /// It sees every change that was acknowledged before it.
-    Latest,
+    Linearizable,
     /// It may be seconds old, and costs the store less.
-    MayBeOld,
+    Stale,
 }
 
 /// The key-value service of a platform.
@@ -145,7 +145,7 @@
     fn range(
         &self,
         prefix: &str,
-        freshness: Freshness,
+        consistency: Consistency,
     ) -> impl Future<Output = Result<key_value::Found, key_value::Error>>;
 
     /// Waits up to `wait` for changes after a revision.
@@ -154,7 +154,7 @@
         prefix: &str,
         after: revision::Revision,
         wait: Duration,
-    ) -> impl Future<Output = Result<Watched, key_value::Error>>;
+    ) -> impl Future<Output = Result<WatchResponse, key_value::Error>>;
 
     /// Writes an entry, whatever it was before. It is removed when the lease lapses.
     fn put(
--- a/crates/gateway/src/control/lease.rs
+++ b/crates/gateway/src/control/lease.rs
@@ -8,9 +8,9 @@
 use pistachiochute_runtime::clock;
 use pistachiochute_runtime::platform::key_value;
 
+use crate::adapter;
 use crate::control::state::HostEntry;
 use crate::control::{Context, HOSTS_PREFIX, sync};
-use crate::edge;
 
 /// Renewals within the time of one lease.
 const RENEWALS: u32 = 3;
@@ -27,8 +27,8 @@
 /// Keeps the entry of this host, under a lease that ends if the host falls silent.
 pub(super) async fn keep<D, S>(cx: Rc<Context<D, S>>)
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     loop {
         if let Err(e) = keep_once(&cx).await {
@@ -40,8 +40,8 @@
 /// Writes the entry and renews its lease until that ends or a call fails.
 async fn keep_once<D, S>(cx: &Context<D, S>) -> Result<(), key_value::Error>
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let ttl = cx.settings.store.lease;
     let lease = cx.store.grant(ttl).await?;
@@ -67,8 +67,8 @@
 /// Removes the entry of a host that has stopped, so that others need not wait for its lease.
 pub(super) async fn end<D, S>(cx: &Context<D, S>)
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let Some(lease) = cx.lease.take() else { return };
     // The lease ends by itself if this call is lost.
@@ -78,8 +78,8 @@
 /// Follows the entries of the hosts.
 pub(super) async fn follow_hosts<D, S>(cx: Rc<Context<D, S>>)
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     loop {
         sync::until_store_returns(&cx, HOSTS_PREFIX, follow_hosts_once(&cx)).await;
@@ -88,16 +88,16 @@
 
 async fn follow_hosts_once<D, S>(cx: &Context<D, S>) -> Result<(), key_value::Error>
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     loop {
         // A host that others feed only has to know its relays, which change seldom.
-        let freshness = match cx.is_fed() {
-            true => edge::Freshness::MayBeOld,
-            false => edge::Freshness::Latest,
+        let consistency = match cx.is_fed() {
+            true => adapter::Consistency::Stale,
+            false => adapter::Consistency::Linearizable,
         };
-        let found = cx.store.range(HOSTS_PREFIX, freshness).await?;
+        let found = cx.store.range(HOSTS_PREFIX, consistency).await?;
         let mut after = found.revision;
         for entry in &found.entries {
             set_host(cx, entry);
@@ -109,13 +109,13 @@
             .hosts
             .retain_listed(&listed, clock::now());
         cx.publish();
-        if freshness == edge::Freshness::MayBeOld {
+        if consistency == adapter::Consistency::Stale {
             tokio::time::sleep(REFRESH).await;
             continue;
         }
         loop {
             let watched = cx.store.watch(HOSTS_PREFIX, after, sync::WATCH).await?;
-            let edge::Watched::Changes { revision, changes } = watched else {
+            let adapter::WatchResponse::Changes { revision, changes } = watched else {
                 cx.events.history_gone(HOSTS_PREFIX, after);
                 break;
             };
--- a/crates/gateway/src/control/links/due.rs
+++ b/crates/gateway/src/control/links/due.rs
@@ -9,8 +9,8 @@
 use pistachiochute_messages::peer;
 use pistachiochute_runtime::clock;
 
+use crate::adapter;
 use crate::control::Context;
-use crate::edge;
 
 /// Longest time between two messages on a link.
 const HEARTBEAT: Duration = Duration::from_millis(1_000);
@@ -38,8 +38,8 @@
     /// The status, if it is due.
     pub(super) fn next<D, S>(&mut self, cx: &Context<D, S>) -> Option<peer::Message>
     where
-        D: edge::Dialect,
-        S: edge::Store,
+        D: adapter::Dialect,
+        S: adapter::Store,
     {
         let now = clock::now();
         let known = cx.known();
@@ -67,8 +67,8 @@
         name: &str,
     ) -> Option<peer::Message>
     where
-        D: edge::Dialect,
-        S: edge::Store,
+        D: adapter::Dialect,
+        S: adapter::Store,
     {
         let state = cx.state.borrow();
         let spread = &state.spread;
--- a/crates/gateway/src/control/links/mod.rs
+++ b/crates/gateway/src/control/links/mod.rs
@@ -20,8 +20,8 @@
 use pistachiochute_runtime::clock;
 use tokio::sync::mpsc;
 
+use crate::adapter;
 use crate::control::Context;
-use crate::edge;
 use crate::net as sockets;
 
 use due::{Asking, Sent};
@@ -44,8 +44,8 @@
 /// Keeps a link to every host that this one talks to.
 pub(super) async fn keep<D, S>(cx: Rc<Context<D, S>>)
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let mut links: HashMap<Arc<str>, (net::SocketAddr, tokio::task::JoinHandle<()>)> =
         HashMap::new();
@@ -80,8 +80,8 @@
 /// Keeps one link until it is aborted.
 async fn link<D, S>(cx: Rc<Context<D, S>>, name: Arc<str>, address: net::SocketAddr)
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let was_up = Cell::new(false);
     loop {
@@ -102,8 +102,8 @@
     was_up: &Cell<bool>,
 ) -> eyre::Result<()>
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let stream = sockets::connect(address, CONNECT)
         .await
@@ -141,8 +141,8 @@
     tx: &mut h2::SendStream<Bytes>,
 ) -> eyre::Result<()>
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let (outbox_tx, mut outbox) = mpsc::channel(OUTBOX);
     cx.state
--- a/crates/gateway/src/control/links/receive.rs
+++ b/crates/gateway/src/control/links/receive.rs
@@ -13,13 +13,13 @@
 use crate::control::state::HostEntry;
 use crate::control::{Context, sync};
 use crate::net as sockets;
-use crate::{edge, events};
+use crate::{adapter, events};
 
 /// Accepts the links of other hosts.
 pub(in crate::control) async fn accept<D, S>(cx: Rc<Context<D, S>>, listener: net::TcpListener)
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
@@ -35,8 +35,8 @@
 
 async fn receive<D, S>(cx: Rc<Context<D, S>>, stream: tokio::net::TcpStream) -> eyre::Result<()>
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let mut connection = h2::server::handshake(stream).await?;
     while let Some(accepted) = connection.accept().await {
@@ -57,8 +57,8 @@
     mut body: h2::RecvStream,
 ) -> eyre::Result<()>
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let mut decoder = codec::Decoder::new();
     let mut sender: Option<Arc<str>> = None;
@@ -103,8 +103,8 @@
 
 fn handle<D, S>(cx: &Rc<Context<D, S>>, sender: &Arc<str>, message: peer::Message)
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     match message {
         peer::Message::Hello { .. } => {}
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -23,7 +23,7 @@
 use pistachiochute_runtime::{clock, metrics};
 use tokio::sync::Notify;
 
-use crate::{edge, events, settings, shared};
+use crate::{adapter, events, settings, shared};
 
 use state::State;
 
@@ -71,8 +71,8 @@
     (events, metrics): (events::Events, metrics::Metrics),
     links: net::TcpListener,
 ) where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let cx = Rc::new(Context {
         state: RefCell::new(State::new(
@@ -122,8 +122,8 @@
 
 impl<D, S> Context<D, S>
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     /// Takes over a catalog if it is newer, and publishes it.
     fn offer_catalog(&self, content: catalog::Content, source: events::Source) {
--- a/crates/gateway/src/control/sync.rs
+++ b/crates/gateway/src/control/sync.rs
@@ -9,7 +9,7 @@
 use pistachiochute_runtime::platform::key_value;
 
 use crate::control::Context;
-use crate::{edge, events};
+use crate::{adapter, events};
 
 /// Longest time that a watch waits for a change. The store counts every call.
 pub(super) const WATCH: Duration = Duration::from_secs(10);
@@ -44,8 +44,8 @@
 /// Follows the entry of the catalog. Of all followers this one tries the store most often.
 pub(super) async fn follow_catalog<D, S>(cx: Rc<Context<D, S>>)
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let mut failures = 0;
     loop {
@@ -61,8 +61,8 @@
 /// Waits as long as a relay brings the news of the store.
 pub(super) async fn wait_while_fed<D, S>(cx: &Context<D, S>)
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     while cx.is_fed() {
         tokio::time::sleep(FEED_CHECK).await;
@@ -75,8 +75,8 @@
     failures: &mut u32,
 ) -> Result<(), key_value::Error>
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let mut cut_watches = 0;
     loop {
@@ -100,12 +100,15 @@
 /// Reads the catalog. Returns the revision after which its changes have to be followed.
 async fn read_catalog<D, S>(cx: &Context<D, S>) -> Result<revision::Revision, key_value::Error>
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let key = cx.dialect.catalog_key();
     let asked = clock::now();
-    let found = cx.store.range(key, edge::Freshness::Latest).await?;
+    let found = cx
+        .store
+        .range(key, adapter::Consistency::Linearizable)
+        .await?;
     cx.note_store(true, "");
     for entry in &found.entries {
         take_catalog(cx, entry);
@@ -127,8 +130,8 @@
 /// Follows the changes of the catalog after a revision.
 async fn watch_catalog<D, S>(cx: &Context<D, S>, mut after: revision::Revision) -> WatchEnd
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let key = cx.dialect.catalog_key();
     loop {
@@ -137,8 +140,8 @@
             () = cx.store_suspect.notified() => return WatchEnd::ReadAnew,
         };
         let (revision, changes) = match watched {
-            Ok(edge::Watched::Changes { revision, changes }) => (revision, changes),
-            Ok(edge::Watched::Compacted) => {
+            Ok(adapter::WatchResponse::Changes { revision, changes }) => (revision, changes),
+            Ok(adapter::WatchResponse::Compacted) => {
                 cx.note_store(true, "");
                 cx.events.history_gone(key, after);
                 return WatchEnd::ReadAnew;
@@ -161,13 +164,13 @@
 
 fn take_catalog<D, S>(cx: &Context<D, S>, entry: &key_value::Entry)
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     if entry.key != cx.dialect.catalog_key().as_bytes() {
         return;
     }
-    match cx.dialect.catalog(&entry.value) {
+    match cx.dialect.decode_catalog(&entry.value) {
         Ok(content) => cx.offer_catalog(content, events::Source::Store),
         Err(e) => cx.events.entry_unusable(&entry.key, entry.modified, &e),
     }
@@ -176,8 +179,8 @@
 /// Follows the entries of the endpoints.
 pub(super) async fn follow_endpoints<D, S>(cx: Rc<Context<D, S>>)
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     loop {
         wait_while_fed(&cx).await;
@@ -225,17 +228,20 @@
 
 async fn follow_endpoints_once<D, S>(cx: &Context<D, S>) -> Result<(), key_value::Error>
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let prefix = cx.dialect.endpoints_prefix();
     loop {
-        let found = cx.store.range(prefix, edge::Freshness::Latest).await?;
+        let found = cx
+            .store
+            .range(prefix, adapter::Consistency::Linearizable)
+            .await?;
         let mut after = found.revision;
         replace_endpoints(cx, found);
         loop {
             let watched = cx.store.watch(prefix, after, WATCH).await?;
-            let edge::Watched::Changes { revision, changes } = watched else {
+            let adapter::WatchResponse::Changes { revision, changes } = watched else {
                 cx.events.history_gone(prefix, after);
                 break;
             };
@@ -252,8 +258,8 @@
 
 fn replace_endpoints<D, S>(cx: &Context<D, S>, found: key_value::Found)
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let entries: Vec<_> = found
         .entries
@@ -282,8 +288,8 @@
     changes: &[key_value::Change],
     revision: revision::Revision,
 ) where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let mut any = false;
     for change in changes {
@@ -327,11 +333,11 @@
     entry: &key_value::Entry,
 ) -> Option<Arc<directory::Endpoint>>
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let key = key_of(&entry.key);
-    match cx.dialect.endpoint(&key, &entry.value) {
+    match cx.dialect.decode_endpoint(&key, &entry.value) {
         Ok(endpoint) => Some(Arc::new(endpoint)),
         Err(e) => {
             cx.events.entry_unusable(&entry.key, entry.modified, &e);
--- a/crates/gateway/src/control/warm.rs
+++ b/crates/gateway/src/control/warm.rs
@@ -15,7 +15,7 @@
 use pistachiochute_messages::peer;
 
 use crate::control::{Context, links};
-use crate::{call, edge, shared};
+use crate::{adapter, call, shared};
 
 /// Time that the other hosts have to tell what they know.
 const WAIT_FOR_HOSTS: Duration = Duration::from_millis(200);
@@ -32,8 +32,8 @@
 /// Asks the engines that fall to this host, unless other hosts told what they hold.
 pub(super) async fn learn<D, S>(cx: Rc<Context<D, S>>)
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     while !cx.shared.view().is_complete() {
         tokio::time::sleep(POLL).await;
@@ -77,8 +77,8 @@
 
 async fn ask<D, S>(cx: Rc<Context<D, S>>, endpoint: Arc<directory::Endpoint>)
 where
-    D: edge::Dialect,
-    S: edge::Store,
+    D: adapter::Dialect,
+    S: adapter::Store,
 {
     let client = call::Client::new(endpoint.address);
     let req = Request::get(cx.dialect.cache_list_path())
@@ -93,7 +93,7 @@
         }
         Err(e) => return cx.events.cache_unknown(&endpoint.identity, &e.to_string()),
     };
-    let parts = match cx.dialect.cached_parts(&answer.body) {
+    let parts = match cx.dialect.decode_cached_parts(&answer.body) {
         Ok(parts) => parts,
         Err(e) => {
             let cause = format!("{e:#}");
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -8,7 +8,7 @@
 use pistachiochute_runtime::metrics;
 
 use crate::shared::Phase;
-use crate::{control, edge, events, net as sockets, probe, settings, shared, traffic};
+use crate::{adapter, control, events, net as sockets, probe, settings, shared, traffic};
 
 /// Listening sockets of a host.
 #[derive(Debug)]
@@ -59,8 +59,8 @@
         log: slog::Logger,
     ) -> eyre::Result<Self>
     where
-        D: edge::Dialect,
-        S: edge::Store,
+        D: adapter::Dialect,
+        S: adapter::Store,
         F: FnOnce() -> S + Send + 'static,
     {
         let shared = Arc::new(shared::Shared::default());
@@ -136,11 +136,11 @@
 
 impl<D> Control<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     fn run<S, F>(self, store: F) -> eyre::Result<()>
     where
-        S: edge::Store,
+        S: adapter::Store,
         F: FnOnce() -> S,
     {
         let (links, health, metrics_listener) = self.sockets;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -5,11 +5,11 @@
 //! them as an immutable [`shared::View`]. The [`traffic`] thread serves every connection and
 //! decides on the view and on its own counts, so no request crosses a thread.
 //!
-//! The platform itself is met through [`edge`], which an adapter implements.
+//! The platform itself is met through [`adapter`], which an adapter implements.
 
+pub mod adapter;
 pub mod call;
 pub mod control;
-pub mod edge;
 pub mod events;
 pub mod gateway;
 pub mod net;
--- a/crates/gateway/src/traffic/exchange.rs
+++ b/crates/gateway/src/traffic/exchange.rs
@@ -11,7 +11,7 @@
 use pistachiochute_core::retry::Ending;
 use pistachiochute_runtime::clock;
 
-use crate::edge;
+use crate::adapter;
 use crate::traffic::plan::Plan;
 use crate::traffic::{Context, fleet, pool, reply};
 
@@ -41,7 +41,7 @@
 /// A stream that an endpoint has begun.
 pub(super) struct Opened<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     pub body: Incoming,
     pub in_progress: fleet::InProgress<D>,
@@ -52,7 +52,7 @@
 /// How an attempt went.
 pub(super) enum Exchanged<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     /// A whole answer for the caller.
     Whole(Whole),
@@ -80,7 +80,7 @@
 
 fn ended<D, C>(ending: Ending, cause: C) -> Exchanged<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
     C: Into<String>,
 {
     Exchanged::Ended {
@@ -93,7 +93,7 @@
 /// Makes one attempt.
 pub(super) async fn exchange<D>(cx: &Rc<Context<D>>, attempt: &Attempt<'_>) -> Exchanged<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let now = clock::now();
     let left = attempt.plan.deadline.since(now);
@@ -110,7 +110,7 @@
 /// Tells the health checks how the attempt went.
 fn sign<D>(cx: &Rc<Context<D>>, attempt: &Attempt<'_>, exchanged: &Exchanged<D>)
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let sign = match exchanged {
         Exchanged::Whole(_) | Exchanged::Stream(..) => health::Sign::Served,
@@ -129,7 +129,7 @@
 
 async fn exchange_in<D>(cx: &Rc<Context<D>>, attempt: &Attempt<'_>, left: Duration) -> Exchanged<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let plan = attempt.plan;
     let prompt = plan.need.prompt.as_ref();
@@ -168,7 +168,7 @@
     left: Duration,
 ) -> http::Result<Request<Full<Bytes>>>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let outgoing = attempt.outgoing;
     let mut req = Request::builder()
@@ -176,9 +176,9 @@
         .uri(outgoing.target.clone())
         .body(Full::new(outgoing.body.clone()))?;
     *req.headers_mut() = outgoing.headers.clone();
-    let call = edge::Call {
+    let call = adapter::CallMetadata {
         endpoint: &attempt.chosen.endpoint,
-        left,
+        remaining: left,
         account: attempt.plan.account.as_deref(),
         priority: attempt
             .plan
@@ -189,7 +189,7 @@
         after_event: attempt.after_event,
         copy_from: attempt.chosen.copy_from,
     };
-    cx.dialect.tell_endpoint(req.headers_mut(), &call);
+    cx.dialect.set_call_headers(req.headers_mut(), &call);
     Ok(req)
 }
 
@@ -202,10 +202,10 @@
     in_progress: fleet::InProgress<D>,
 ) -> Exchanged<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let (mut parts, body) = answer.into_parts();
-    let head = cx.dialect.answer(&parts);
+    let head = cx.dialect.response_metadata(&parts);
     if let Some(load) = head.load {
         let now = clock::now();
         cx.fleet
@@ -232,7 +232,7 @@
             false => ended(Ending::Failed, cause),
         };
     }
-    cx.dialect.tell_caller(&mut parts.headers);
+    cx.dialect.strip_internal_headers(&mut parts.headers);
     let closes = closes(&parts.headers);
     reply::strip_connection_headers(&mut parts.headers);
     let idle_limit = if closes {
@@ -260,7 +260,7 @@
     idle_limit: Option<Duration>,
 ) -> Exchanged<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let body = match Limited::new(body, MAX_WHOLE_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
--- a/crates/gateway/src/traffic/fleet.rs
+++ b/crates/gateway/src/traffic/fleet.rs
@@ -14,7 +14,7 @@
 use pistachiochute_messages::peer;
 
 use crate::traffic::Context;
-use crate::{edge, shared};
+use crate::{adapter, shared};
 
 /// Age up to which the load that an endpoint stated counts.
 const STATED_HORIZON: Duration = Duration::from_millis(250);
@@ -196,7 +196,7 @@
     pub(super) fn stated(
         &mut self,
         id: entity::EndpointId,
-        load: edge::StatedLoad,
+        load: adapter::ReportedLoad,
         now: time::Time,
     ) {
         if let Some(known) = self.known.get_mut(id) {
@@ -292,7 +292,7 @@
 /// its caller leaves.
 pub(super) struct InProgress<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     cx: Rc<Context<D>>,
     endpoint: entity::EndpointId,
@@ -302,7 +302,7 @@
 
 impl<D> InProgress<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     /// Counts a request that is sent to an endpoint.
     pub(super) fn begin(
@@ -348,7 +348,7 @@
 
 impl<D> Drop for InProgress<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     fn drop(&mut self) {
         self.prompt_read();
--- a/crates/gateway/src/traffic/listener.rs
+++ b/crates/gateway/src/traffic/listener.rs
@@ -14,7 +14,7 @@
 
 use crate::shared::Phase;
 use crate::traffic::{Context, serve};
-use crate::{edge, net as sockets};
+use crate::{adapter, net as sockets};
 
 /// Largest head of a request before the first catalog, in bytes.
 const DEFAULT_HEAD_BYTES: usize = 64 << 10;
@@ -45,7 +45,7 @@
 /// Accepts connections until it is dropped.
 pub(super) async fn accept<D>(cx: Rc<Context<D>>, listener: net::TcpListener)
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
@@ -65,7 +65,7 @@
 
 async fn connection<D>(cx: Rc<Context<D>>, stream: tokio::net::TcpStream)
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     cx.connections.set(cx.connections.get() + 1);
     drive(&cx, stream).await;
@@ -75,7 +75,7 @@
 /// Serves a connection until it is closed, idle for too long, or the host stops.
 async fn drive<D>(cx: &Rc<Context<D>>, stream: tokio::net::TcpStream)
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let activity = Rc::new(Activity {
         last: Cell::new(clock::now()),
@@ -140,7 +140,7 @@
 /// Waits for a planned stop and carries it out.
 pub(super) async fn stop<D>(cx: &Rc<Context<D>>, longest: Duration)
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let mut phases = cx.shared.phases();
     while *phases.borrow() < Phase::Leaving {
--- a/crates/gateway/src/traffic/mod.rs
+++ b/crates/gateway/src/traffic/mod.rs
@@ -22,7 +22,7 @@
 use pistachiochute_core::{retry, time};
 use pistachiochute_runtime::{clock, metrics};
 
-use crate::{edge, events, settings, shared};
+use crate::{adapter, events, settings, shared};
 
 /// Time between two digests of the host's work.
 const DIGEST_INTERVAL: Duration = Duration::from_millis(100);
@@ -54,7 +54,7 @@
     callers: net::TcpListener,
 ) -> usize
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let budget: retry::FleetBudget = settings.retry;
     let cx = Rc::new(Context {
@@ -81,7 +81,7 @@
 /// Publishes the work of this host whenever it has changed.
 async fn publish_loads<D>(cx: Rc<Context<D>>)
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let mut last = Vec::new();
     loop {
--- a/crates/gateway/src/traffic/plan.rs
+++ b/crates/gateway/src/traffic/plan.rs
@@ -7,7 +7,7 @@
 use http::request;
 use pistachiochute_core::{catalog, choice, reason, time};
 
-use crate::{edge, shared};
+use crate::{adapter, shared};
 
 /// Longest time that a request may take if neither its route nor its caller bounds it.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
@@ -47,7 +47,7 @@
     view: &shared::View,
     age: Duration,
     head: &request::Parts,
-    ask: &edge::Ask,
+    metadata: &adapter::RequestMetadata,
     arrived: time::Time,
 ) -> Result<Plan, reason::Refusal> {
     let catalog = view.catalog.as_ref().ok_or(reason::Refusal::NotReady)?;
@@ -59,17 +59,17 @@
     let route = catalog
         .route(authority(head), head.uri.path())
         .ok_or_else(|| unknown(reason::Refusal::NotFound))?;
-    let account = account_of(catalog, route, ask).map_err(unknown)?;
-    let seed = seed_of(&ask.id);
+    let account = account_of(catalog, route, metadata).map_err(unknown)?;
+    let seed = seed_of(&metadata.id);
     let timeout = route.timeout.unwrap_or(DEFAULT_TIMEOUT);
-    let patience = ask.patience.unwrap_or(timeout);
+    let caller_timeout = metadata.timeout.unwrap_or(timeout);
     Ok(Plan {
         service: route.target(seed),
         account: account.map(|a| a.name.clone()),
         priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
-        deadline: arrived + timeout.min(patience),
+        deadline: arrived + timeout.min(caller_timeout),
         need: choice::Need {
-            prompt: ask.prompt.clone(),
+            prompt: metadata.prompt.clone(),
             seed,
         },
         route: route.clone(),
@@ -90,12 +90,12 @@
 fn account_of<'a>(
     catalog: &'a catalog::Catalog,
     route: &catalog::Route,
-    ask: &edge::Ask,
+    metadata: &adapter::RequestMetadata,
 ) -> Result<Option<&'a catalog::Account>, reason::Refusal> {
     if route.is_public || !catalog.has_accounts() {
         return Ok(None);
     }
-    let key: &Bytes = ask.key.as_ref().ok_or(reason::Refusal::Unauthorized)?;
+    let key: &Bytes = metadata.key.as_ref().ok_or(reason::Refusal::Unauthorized)?;
     let account = catalog.account_of_key(key);
     account.map(Some).ok_or(reason::Refusal::Unauthorized)
 }
--- a/crates/gateway/src/traffic/relay.rs
+++ b/crates/gateway/src/traffic/relay.rs
@@ -11,7 +11,7 @@
 use pistachiochute_runtime::clock;
 use smallvec::SmallVec;
 
-use crate::edge;
+use crate::adapter;
 use crate::traffic::exchange::{Opened, Outgoing};
 use crate::traffic::plan::Plan;
 use crate::traffic::{Context, report, serve};
@@ -34,7 +34,7 @@
 /// What is needed to send the request of a stream again.
 pub(super) struct Origin<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     pub cx: Rc<Context<D>>,
     pub plan: Plan,
@@ -50,7 +50,7 @@
 /// Where the events come from.
 enum Source<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     /// An endpoint.
     Endpoint(Box<Opened<D>>),
@@ -63,7 +63,7 @@
 /// A stream on its way to a caller.
 pub(super) struct Relay<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     origin: Option<Box<Origin<D>>>,
     source: Source<D>,
@@ -74,7 +74,7 @@
 
 impl<D> Relay<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     /// Makes the relay of a stream that an endpoint has begun.
     pub(super) fn new(
--- a/crates/gateway/src/traffic/reply.rs
+++ b/crates/gateway/src/traffic/reply.rs
@@ -9,7 +9,7 @@
 use http_body::{Body, Frame, SizeHint};
 use pistachiochute_core::{outcome, reason, retry};
 
-use crate::edge;
+use crate::adapter;
 use crate::traffic::relay;
 
 /// Headers that concern one connection only.
@@ -27,7 +27,7 @@
 /// Body of an answer.
 pub(super) enum Reply<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     /// A whole body.
     Whole(Option<Bytes>),
@@ -37,7 +37,7 @@
 
 impl<D> Body for Reply<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     type Data = Bytes;
     type Error = relay::Cut;
@@ -69,7 +69,7 @@
 /// Body of a whole answer; an empty one has no frame.
 pub(super) fn whole<D>(bytes: Bytes) -> Reply<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     Reply::Whole((!bytes.is_empty()).then_some(bytes))
 }
@@ -113,7 +113,7 @@
     (left, seed): (Duration, u64),
 ) -> Response<Reply<D>>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let refused = Refused {
         error: reason,
--- a/crates/gateway/src/traffic/report.rs
+++ b/crates/gateway/src/traffic/report.rs
@@ -9,12 +9,12 @@
 
 use crate::traffic::plan::Plan;
 use crate::traffic::{Context, fleet};
-use crate::{edge, events};
+use crate::{adapter, events};
 
 /// What is known of a request when it ends, for its log line and the metrics.
 pub(super) struct Report<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     cx: Rc<Context<D>>,
     arrived: time::Time,
@@ -40,7 +40,7 @@
 
 impl<D> Report<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     /// Begins the report of a request that has arrived.
     pub(super) fn new(cx: &Rc<Context<D>>, arrived: time::Time) -> Self {
@@ -164,7 +164,7 @@
 
 impl<D> Drop for Report<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     /// The future of a request is dropped when its caller leaves.
     fn drop(&mut self) {
--- a/crates/gateway/src/traffic/serve.rs
+++ b/crates/gateway/src/traffic/serve.rs
@@ -19,7 +19,7 @@
 use crate::traffic::reply::Reply;
 use crate::traffic::report::Report;
 use crate::traffic::{Context, exchange, fleet, reply};
-use crate::{edge, events};
+use crate::{adapter, events};
 
 /// Largest body if no catalog is in force, in bytes.
 const DEFAULT_BODY_BYTES: usize = 4 << 20;
@@ -47,12 +47,12 @@
     req: Request<Incoming>,
 ) -> Result<Response<Reply<D>>, Infallible>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let mut report = Report::new(&cx, clock::now());
     let (head, body) = req.into_parts();
     let mut response = match receive(&cx, &mut report, &head, body).await {
-        Ok((plan, ask, body)) => run(&cx, report, plan, &ask, head, body).await,
+        Ok((plan, metadata, body)) => run(&cx, report, plan, &metadata, head, body).await,
         Err(reason) => refuse(report, reason, outcome::Outcome::NotRun),
     };
     if cx.shared.phase() > Phase::Serving {
@@ -69,9 +69,9 @@
     report: &mut Report<D>,
     head: &request::Parts,
     body: Incoming,
-) -> Result<(Plan, edge::Ask, Bytes), reason::Refusal>
+) -> Result<(Plan, adapter::RequestMetadata, Bytes), reason::Refusal>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let view = cx.shared.view().clone();
     let max = view
@@ -86,10 +86,10 @@
         }
         Ok(Err(_)) | Err(_) => return Err(reason::Refusal::BodyTruncated),
     };
-    let ask = cx.dialect.ask(head)?;
-    report.identify(&ask.id);
+    let metadata = cx.dialect.request_metadata(head)?;
+    report.identify(&metadata.id);
     let age = cx.shared.catalog_age(report.arrived());
-    let plan = plan(&view, age, head, &ask, report.arrived())?;
+    let plan = plan(&view, age, head, &metadata, report.arrived())?;
     report.planned(&plan);
     if !can_finish(cx, &plan, report.arrived()) {
         return Err(reason::Refusal::Draining);
@@ -98,13 +98,13 @@
     fleet.follow(&view);
     let service = plan.service().name.clone();
     fleet.budget(&service, view.hosts).deposit();
-    Ok((plan, ask, body))
+    Ok((plan, metadata, body))
 }
 
 /// Whether a host that stops can expect to finish a request before its end.
 fn can_finish<D>(cx: &Rc<Context<D>>, plan: &Plan, now: time::Time) -> bool
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let needed = match plan.route.kind.is_stream() {
         true => STOPPING_STREAM,
@@ -118,14 +118,14 @@
     cx: &Rc<Context<D>>,
     mut report: Report<D>,
     plan: Plan,
-    ask: &edge::Ask,
+    metadata: &adapter::RequestMetadata,
     head: request::Parts,
     body: Bytes,
 ) -> Response<Reply<D>>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
-    let outgoing = outgoing(head, body, ask);
+    let outgoing = outgoing(head, body, metadata);
     let attempts = retry::Attempts::new(plan.route.kind, plan.route.max_attempts);
     let mut origin = Box::new(Origin {
         cx: cx.clone(),
@@ -134,7 +134,7 @@
         attempts,
         tried: SmallVec::new(),
     });
-    let after = ask.after_event;
+    let after = metadata.after_event;
     match attempt_until_answer(&mut origin, after, Some(&mut report)).await {
         Answer::Whole(answer) => deliver(report, answer),
         Answer::Stream(parts, opened) => {
@@ -151,7 +151,7 @@
 /// What the attempts at a request gave.
 enum Answer<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     Whole(Whole),
     Stream(response::Parts, Box<Opened<D>>),
@@ -169,7 +169,7 @@
     mut report: Option<&mut Report<D>>,
 ) -> Answer<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let cx = origin.cx.clone();
     // The last failure that an endpoint answered, which is better than none of our own.
@@ -224,7 +224,7 @@
     outcome: outcome::Outcome,
 ) -> Answer<D>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let Some(failure) = failure else {
         return Answer::None { reason, outcome };
@@ -238,7 +238,7 @@
 /// Chooses the endpoint of the next attempt by what is known now.
 fn choose<D>(cx: &Rc<Context<D>>, origin: &Origin<D>, now: time::Time) -> Option<fleet::Chosen>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let mut fleet = cx.fleet.borrow_mut();
     fleet.follow(&cx.shared.view());
@@ -251,7 +251,7 @@
 /// Time after which silence of an endpoint counts as a failure.
 fn stall<D>(cx: &Rc<Context<D>>, origin: &Origin<D>) -> Option<Duration>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let route = &origin.plan.route;
     let service = &origin.plan.service().name;
@@ -270,7 +270,7 @@
 /// Decides what follows an attempt, and takes a repeat from the budget if one follows.
 fn next<D>(cx: &Rc<Context<D>>, origin: &mut Origin<D>, ending: retry::Ending) -> retry::Next
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let hosts = cx.shared.view().hosts;
     let service = origin.plan.service().name.clone();
@@ -288,7 +288,7 @@
     chosen: &fleet::Chosen,
     (ending, cause, next): (retry::Ending, &str, retry::Next),
 ) where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let next = match next {
         retry::Next::Again(reason) => reason.as_str(),
@@ -305,7 +305,11 @@
 }
 
 /// The request as endpoints get it, apart from what differs from attempt to attempt.
-fn outgoing(mut head: request::Parts, body: Bytes, ask: &edge::Ask) -> Outgoing {
+fn outgoing(
+    mut head: request::Parts,
+    body: Bytes,
+    metadata: &adapter::RequestMetadata,
+) -> Outgoing {
     reply::strip_connection_headers(&mut head.headers);
     for name in [header::CONTENT_LENGTH, header::EXPECT] {
         head.headers.remove(name);
@@ -316,13 +320,13 @@
         target: target.map_or_else(|| Uri::from_static("/"), Uri::from),
         headers: head.headers,
         body,
-        id: ask.id.clone(),
+        id: metadata.id.clone(),
     }
 }
 
 fn deliver<D>(mut report: Report<D>, answer: Whole) -> Response<Reply<D>>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     report.answered(answer.parts.status.as_u16());
     report.passed(0);
@@ -336,7 +340,7 @@
     outcome: outcome::Outcome,
 ) -> Response<Reply<D>>
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let left = report.deadline().since(clock::now());
     let spread = (left, report.arrived().as_micros());
@@ -353,7 +357,7 @@
     cause: String,
 ) -> (Box<Origin<D>>, Result<Opened<D>, Cut>)
 where
-    D: edge::Dialect,
+    D: adapter::Dialect,
 {
     let cx = origin.cx.clone();
     if let retry::Next::GiveUp { .. } = next(&cx, &mut origin, retry::Ending::Lost) {
