--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/admin.rs
@@ -12,7 +12,7 @@
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
 
-use crate::net as sockets;
+use crate::sockets;
 
 /// Answer of a small listener.
 #[derive(Clone, Debug)]
--- a/crates/gateway/src/control/links/mod.rs
+++ b/crates/gateway/src/control/links/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::adapter;
 use crate::control::Context;
-use crate::net as sockets;
+use crate::sockets;
 
 use due::{Asking, Sent};
 
--- a/crates/gateway/src/control/links/receive.rs
+++ b/crates/gateway/src/control/links/receive.rs
@@ -12,7 +12,7 @@
 use crate::control::links::take_holdings;
 use crate::control::state::HostEntry;
 use crate::control::{Context, sync};
-use crate::net as sockets;
+use crate::sockets;
 use crate::{adapter, events};
 
 /// Accepts the links of other hosts.
--- a/crates/gateway/src/control/warm.rs
+++ b/crates/gateway/src/control/warm.rs
@@ -15,7 +15,7 @@
 use pistachiochute_messages::peer;
 
 use crate::control::{Context, links};
-use crate::{adapter, call, shared};
+use crate::{adapter, http_client, shared};
 
 /// Time that the other hosts have to tell what they know.
 const WAIT_FOR_HOSTS: Duration = Duration::from_millis(200);
@@ -80,7 +80,7 @@
     D: adapter::Dialect,
     S: adapter::Store,
 {
-    let client = call::Client::new(endpoint.address);
+    let client = http_client::Client::new(endpoint.address);
     let req = Request::get(cx.dialect.cache_list_path())
         .header(header::HOST, endpoint.address.to_string())
         .body(Full::new(Bytes::new()));
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -8,7 +8,7 @@
 use pistachiochute_runtime::metrics;
 
 use crate::shared::Phase;
-use crate::{adapter, control, events, net as sockets, probe, settings, shared, traffic};
+use crate::{adapter, admin, control, events, settings, shared, sockets, traffic};
 
 /// Listening sockets of a host.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
     {
         let shared = Arc::new(shared::Shared::default());
         let metrics = metrics::Metrics::new()?;
-        let listening = Sockets::bind(&mut settings.listen)?;
+        let sockets = Sockets::bind(&mut settings.listen)?;
         let listen = settings.listen;
         let control = Control {
             settings: settings.clone(),
@@ -73,14 +73,14 @@
             shared: shared.clone(),
             metrics: metrics.clone(),
             log: log.clone(),
-            sockets: (listening.links, listening.health, listening.metrics),
+            sockets: (sockets.links, sockets.health, sockets.metrics),
         };
         let control = thread::Builder::new()
             .name("control".to_owned())
             .spawn(move || control.run(store))
             .wrap_err("control thread")?;
         let traffic_shared = shared.clone();
-        let callers = listening.callers;
+        let callers = sockets.callers;
         let traffic = thread::Builder::new()
             .name("traffic".to_owned())
             .spawn(move || {
@@ -146,19 +146,19 @@
         let (links, health, metrics_listener) = self.sockets;
         let shared = self.shared.clone();
         let metrics = self.metrics.clone();
-        let observed = (events::Events::new(self.log), self.metrics);
+        let telemetry = (events::Events::new(self.log), self.metrics);
         block_on(async move {
-            let ready = probe::serve(health, move || readiness(&shared));
-            tokio::task::spawn_local(ready);
-            let exposed = probe::serve(metrics_listener, move || exposition(&metrics));
-            tokio::task::spawn_local(exposed);
+            let health = admin::serve(health, move || health_reply(&shared));
+            tokio::task::spawn_local(health);
+            let metrics = admin::serve(metrics_listener, move || metrics_reply(&metrics));
+            tokio::task::spawn_local(metrics);
             let store = store();
             control::run(
                 self.dialect,
                 store,
                 self.settings,
                 self.shared,
-                observed,
+                telemetry,
                 links,
             )
             .await;
@@ -167,25 +167,25 @@
 }
 
 /// Whether the balancer should send callers here.
-fn readiness(shared: &shared::Shared) -> probe::Reply {
+fn health_reply(shared: &shared::Shared) -> admin::Reply {
     let is_ready = shared.phase() == Phase::Serving && shared.view().is_complete();
     let status = match is_ready {
         true => StatusCode::OK,
         false => StatusCode::SERVICE_UNAVAILABLE,
     };
-    probe::Reply {
+    admin::Reply {
         status,
         body: String::new(),
     }
 }
 
-fn exposition(metrics: &metrics::Metrics) -> probe::Reply {
+fn metrics_reply(metrics: &metrics::Metrics) -> admin::Reply {
     match metrics.render() {
-        Ok(body) => probe::Reply {
+        Ok(body) => admin::Reply {
             status: StatusCode::OK,
             body,
         },
-        Err(e) => probe::Reply {
+        Err(e) => admin::Reply {
             status: StatusCode::INTERNAL_SERVER_ERROR,
             body: format!("{e:#}"),
         },
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/http_client.rs
@@ -1,4 +1,4 @@
-//! Calls to an HTTP service over kept connections.
+//! Calls to an HTTP service over persistent connections.
 
 use std::cell::RefCell;
 use std::net;
@@ -12,20 +12,20 @@
 use hyper_util::rt::TokioIo;
 use pistachiochute_runtime::platform::key_value;
 
-use crate::net as sockets;
+use crate::sockets;
 
 /// Time to make a connection.
-const CONNECT: Duration = Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Largest answer, in bytes.
-const MAX_ANSWER_BYTES: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Connections that are kept for the next call.
-const MAX_KEPT: usize = 4;
+/// Connections that stay open for later calls.
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
 /// Status and body of an answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status.
     pub status: StatusCode,
     /// Whole body.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct Client {
     address: net::SocketAddr,
-    kept: Rc<RefCell<Vec<Connection>>>,
+    idle: Rc<RefCell<Vec<Connection>>>,
 }
 
 impl Client {
@@ -47,7 +47,7 @@
     pub fn new(address: net::SocketAddr) -> Self {
         Self {
             address,
-            kept: Rc::default(),
+            idle: Rc::default(),
         }
     }
 
@@ -62,14 +62,14 @@
         &self,
         req: Request<Full<Bytes>>,
         timeout: Duration,
-    ) -> Result<Answer, key_value::Error> {
-        let calling = async {
-            let mut connection = self.connection().await?;
-            let answer = exchange(&mut connection, req).await?;
-            self.keep(connection);
-            Ok(answer)
+    ) -> Result<Response, key_value::Error> {
+        let exchange = async {
+            let mut connection = self.acquire().await?;
+            let response = send(&mut connection, req).await?;
+            self.release(connection);
+            Ok(response)
         };
-        match tokio::time::timeout(timeout, calling).await {
+        match tokio::time::timeout(timeout, exchange).await {
             Ok(result) => result,
             Err(_) => Err(key_value::Error::unknown(format!(
                 "no answer within {timeout:?}"
@@ -83,14 +83,14 @@
         self.address
     }
 
-    async fn connection(&self) -> Result<Connection, key_value::Error> {
-        while let Some(kept) = self.take_kept() {
-            if kept.is_ready() {
-                return Ok(kept);
+    async fn acquire(&self) -> Result<Connection, key_value::Error> {
+        while let Some(idle) = self.pop_idle() {
+            if idle.is_ready() {
+                return Ok(idle);
             }
         }
         let not_sent = |reason: String| key_value::Error::NotSent { reason };
-        let stream = sockets::connect(self.address, CONNECT)
+        let stream = sockets::connect(self.address, CONNECT_TIMEOUT)
             .await
             .map_err(|e| not_sent(e.to_string()))?;
         let (connection, driver) = http1::handshake(TokioIo::new(stream))
@@ -101,32 +101,32 @@
         Ok(connection)
     }
 
-    fn take_kept(&self) -> Option<Connection> {
-        self.kept.borrow_mut().pop()
+    fn pop_idle(&self) -> Option<Connection> {
+        self.idle.borrow_mut().pop()
     }
 
-    fn keep(&self, connection: Connection) {
-        let mut kept = self.kept.borrow_mut();
-        if kept.len() < MAX_KEPT && !connection.is_closed() {
-            kept.push(connection);
+    fn release(&self, connection: Connection) {
+        let mut idle = self.idle.borrow_mut();
+        if idle.len() < MAX_IDLE_CONNECTIONS && !connection.is_closed() {
+            idle.push(connection);
         }
     }
 }
 
-async fn exchange(
+async fn send(
     connection: &mut Connection,
     req: Request<Full<Bytes>>,
-) -> Result<Answer, key_value::Error> {
-    let answer = connection
+) -> Result<Response, key_value::Error> {
+    let response = connection
         .send_request(req)
         .await
         .map_err(|e| key_value::Error::unknown(e.to_string()))?;
-    let status = answer.status();
-    let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES)
+    let status = response.status();
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
         .collect()
         .await
         .map_err(|e| key_value::Error::unknown(e.to_string()))?;
-    Ok(Answer {
+    Ok(Response {
         status,
         body: body.to_bytes(),
     })
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,12 +8,12 @@
 //! The platform itself is met through [`adapter`], which an adapter implements.
 
 pub mod adapter;
-pub mod call;
+pub mod admin;
 pub mod control;
 pub mod events;
 pub mod gateway;
-pub mod net;
-pub mod probe;
+pub mod http_client;
 pub mod settings;
 pub mod shared;
+pub mod sockets;
 pub mod traffic;
--- a/crates/gateway/src/net.rs
+++ b/crates/gateway/src/sockets.rs
@@ -7,16 +7,16 @@
 use tokio::net as tokio_net;
 
 /// Connections that may wait to be accepted.
-const BACKLOG: i32 = 1_024;
+const ACCEPT_BACKLOG: i32 = 1_024;
 
 /// Time for which sent bytes may stay unacknowledged before the connection counts as lost.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Idle time after which a connection is probed, and time between two probes.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Unanswered probes after which a connection counts as lost.
-const PROBES: u32 = 2;
+const KEEPALIVE_PROBES: u32 = 2;
 
 /// Binds a listening socket.
 ///
@@ -28,7 +28,7 @@
     let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     socket.set_nonblocking(true)?;
     Ok(socket.into())
 }
@@ -46,21 +46,21 @@
     let stream = tokio::time::timeout(timeout, connecting)
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    prepare(&stream)?;
+    set_options(&stream)?;
     Ok(stream)
 }
 
 /// Pause after a connection could not be accepted: it failed before, or the process is out of
 /// descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(5);
 
 /// Accepts the next connection and sets its options. What fails concerns that connection alone.
 pub async fn accept(listener: &tokio_net::TcpListener) -> tokio_net::TcpStream {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if prepare(&stream).is_ok() => return stream,
+            Ok((stream, _)) if set_options(&stream).is_ok() => return stream,
             Ok(_) => {}
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
@@ -70,13 +70,13 @@
 /// # Errors
 ///
 /// Returns the error of the system.
-fn prepare(stream: &tokio_net::TcpStream) -> io::Result<()> {
+fn set_options(stream: &tokio_net::TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = socket2::TcpKeepalive::new()
-        .with_time(PROBE_INTERVAL)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
--- a/crates/gateway/src/traffic/listener.rs
+++ b/crates/gateway/src/traffic/listener.rs
@@ -14,7 +14,7 @@
 
 use crate::shared::Phase;
 use crate::traffic::{Context, serve};
-use crate::{adapter, net as sockets};
+use crate::{adapter, sockets};
 
 /// Largest head of a request before the first catalog, in bytes.
 const DEFAULT_HEAD_BYTES: usize = 64 << 10;
--- a/crates/gateway/src/traffic/pool.rs
+++ b/crates/gateway/src/traffic/pool.rs
@@ -13,7 +13,7 @@
 use pistachiochute_core::{directory, time};
 use pistachiochute_runtime::clock;
 
-use crate::net as sockets;
+use crate::sockets;
 
 /// Time to make a connection.
 const CONNECT: Duration = Duration::from_millis(250);
