--- a/crates/cases/src/machine/retry.rs
+++ b/crates/cases/src/machine/retry.rs
@@ -35,7 +35,7 @@
         /// Name of the request.
         request: String,
         /// Whether it may be sent again after it may have run.
-        repeat: request::Repeat,
+        repeat: request::Idempotency,
         /// Deadline of the request, in milliseconds.
         deadline_ms: u64,
     },
@@ -92,7 +92,7 @@
 pub struct Machine {
     cfg: retry::Config,
     budget: retry::Budget,
-    requests: BTreeMap<String, retry::Request>,
+    requests: BTreeMap<String, retry::RetryState>,
 }
 
 impl Machine {
@@ -133,9 +133,9 @@
         }
     }
 
-    fn begin(&mut self, request: String, repeat: request::Repeat, deadline: time::Time) {
+    fn begin(&mut self, request: String, repeat: request::Idempotency, deadline: time::Time) {
         let seed = self.requests.len() as u64;
-        let state = retry::Request::new(self.cfg, repeat, deadline, seed, &mut self.budget);
+        let state = retry::RetryState::new(self.cfg, repeat, deadline, seed, &mut self.budget);
         self.requests.insert(request, state);
     }
 
@@ -143,7 +143,7 @@
         let Some(state) = self.requests.get_mut(request) else {
             return Outcome::UnknownRequest;
         };
-        match state.start(now) {
+        match state.start_attempt(now) {
             Ok(attempt) => Outcome::Attempt(attempt),
             Err(given_up) => give_up(&given_up),
         }
@@ -153,7 +153,7 @@
         let Some(state) = self.requests.get_mut(request) else {
             return Outcome::UnknownRequest;
         };
-        match state.failed(now, failure, &mut self.budget) {
+        match state.record_failure(now, failure, &mut self.budget) {
             retry::Decision::Retry { reason, at } => Outcome::Retry {
                 reason,
                 at_ms: super::millis(at),
@@ -174,7 +174,7 @@
 impl From<Recovery> for retry::Recovery {
     fn from(recovery: Recovery) -> Self {
         match recovery {
-            Recovery::Repeat => Self::Repeat,
+            Recovery::Repeat => Self::Restart,
             Recovery::Resume => Self::Resume,
             Recovery::Impossible => Self::Impossible,
         }
@@ -184,7 +184,7 @@
 impl From<retry::Recovery> for Recovery {
     fn from(recovery: retry::Recovery) -> Self {
         match recovery {
-            retry::Recovery::Repeat => Self::Repeat,
+            retry::Recovery::Restart => Self::Repeat,
             retry::Recovery::Resume => Self::Resume,
             retry::Recovery::Impossible => Self::Impossible,
         }
--- a/crates/core/src/answer/assembly.rs
+++ b/crates/core/src/answer/assembly.rs
@@ -258,7 +258,7 @@
         self.held.take();
         let attempt = self.attempt.take();
         let progress = attempt.as_ref().map(|attempt| attempt.progress);
-        let seen = progress.unwrap_or_default().if_lost();
+        let seen = progress.unwrap_or_default().outcome_if_lost();
         let resumes = attempt.is_some_and(|attempt| attempt.resumes);
         retry::Failure {
             reason,
@@ -270,7 +270,7 @@
 
     fn recovery(&self, reason: reason::Refusal) -> retry::Recovery {
         if !self.delivered {
-            return retry::Recovery::Repeat;
+            return retry::Recovery::Restart;
         }
         let resumable = self.stream && self.event.is_some() && !self.inside_event;
         if resumable && reason::Retry::of(reason).is_some() {
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -90,7 +90,7 @@
 impl Progress {
     /// Evidence that the attempt leaves behind if it is lost here without a further word.
     #[must_use]
-    pub const fn if_lost(self) -> Outcome {
+    pub const fn outcome_if_lost(self) -> Outcome {
         match self {
             Self::NotSent => Outcome::NotRun,
             Self::Sent | Self::Dispatched => Outcome::Unknown,
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -86,7 +86,7 @@
 /// Whether a request may be sent again after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Repeat {
+pub enum Idempotency {
     /// Running it twice does no harm.
     Idempotent,
     /// It runs at most once: another attempt needs proof that no earlier one ran.
--- a/crates/core/src/retry/attempts.rs
+++ b/crates/core/src/retry/attempts.rs
@@ -3,11 +3,11 @@
 use crate::{catalog, outcome, reason};
 
 /// Most tries of one request, those included whose connection was never made.
-pub const MAX_TRIES: u32 = 6;
+pub const MAX_ATTEMPTS: u32 = 6;
 
 /// How an attempt ended without an answer that the caller can be given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptFailure {
     /// This host has as many connections to the endpoint as it may.
     AtLimit,
     /// No byte of the request reached an endpoint.
@@ -15,26 +15,26 @@
     /// The endpoint proved that it did not run the request.
     Refused,
     /// Another endpoint stands at the address; it did not run the request.
-    Elsewhere,
+    EndpointReplaced,
     /// The endpoint ran the request and failed.
     Failed,
     /// The answer is damaged, or belongs to another request.
-    Damaged,
+    InvalidAnswer,
     /// The connection was lost before the answer was whole.
-    Lost,
+    ConnectionLost,
     /// The endpoint has been silent for longer than it may.
     Stalled,
 }
 
-impl Ending {
-    /// What the ending tells of whether the request ran.
+impl AttemptFailure {
+    /// What the failure tells of whether the request ran.
     #[must_use]
     pub const fn outcome(self) -> outcome::Outcome {
         match self {
-            Self::AtLimit | Self::NotSent | Self::Refused | Self::Elsewhere => {
+            Self::AtLimit | Self::NotSent | Self::Refused | Self::EndpointReplaced => {
                 outcome::Outcome::NotRun
             }
-            Self::Damaged | Self::Lost | Self::Stalled => outcome::Outcome::Unknown,
+            Self::InvalidAnswer | Self::ConnectionLost | Self::Stalled => outcome::Outcome::Unknown,
             Self::Failed => outcome::Outcome::Run,
         }
     }
@@ -46,10 +46,10 @@
             Self::AtLimit => reason::Refusal::AtBound,
             Self::NotSent => reason::Refusal::ConnectFailed,
             Self::Refused => reason::Refusal::EndpointRefused,
-            Self::Elsewhere => reason::Refusal::EndpointLeaving,
+            Self::EndpointReplaced => reason::Refusal::EndpointLeaving,
             Self::Failed => reason::Refusal::EndpointFailed,
-            Self::Damaged => reason::Refusal::AnswerIncomplete,
-            Self::Lost => reason::Refusal::ConnectionLost,
+            Self::InvalidAnswer => reason::Refusal::AnswerIncomplete,
+            Self::ConnectionLost => reason::Refusal::ConnectionLost,
             Self::Stalled => reason::Refusal::Stalled,
         }
     }
@@ -61,24 +61,24 @@
             Self::AtLimit => reason::Retry::AtBound,
             Self::NotSent => reason::Retry::ConnectFailed,
             Self::Refused => reason::Retry::EndpointRefused,
-            Self::Elsewhere => reason::Retry::EndpointLeaving,
+            Self::EndpointReplaced => reason::Retry::EndpointLeaving,
             Self::Failed => reason::Retry::EndpointFailed,
-            Self::Damaged | Self::Lost => reason::Retry::ConnectionLost,
+            Self::InvalidAnswer | Self::ConnectionLost => reason::Retry::ConnectionLost,
             Self::Stalled => reason::Retry::Stalled,
         }
     }
 
-    /// Name of the ending in logs.
+    /// Name of the failure in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::AtLimit => "at_limit",
             Self::NotSent => "not_sent",
             Self::Refused => "refused",
-            Self::Elsewhere => "elsewhere",
+            Self::EndpointReplaced => "elsewhere",
             Self::Failed => "failed",
-            Self::Damaged => "damaged",
-            Self::Lost => "lost",
+            Self::InvalidAnswer => "damaged",
+            Self::ConnectionLost => "lost",
             Self::Stalled => "stalled",
         }
     }
@@ -89,8 +89,8 @@
     }
 
     /// Whether the request arrived at the endpoint that it was meant for.
-    const fn arrived(self) -> bool {
-        !self.is_unsent() && !matches!(self, Self::Elsewhere)
+    const fn reached_endpoint(self) -> bool {
+        !self.is_unsent() && !matches!(self, Self::EndpointReplaced)
     }
 }
 
@@ -98,7 +98,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Send the request to another endpoint.
-    Again(reason::Retry),
+    Retry(reason::Retry),
     /// Answer the caller now.
     GiveUp {
         /// Why no other attempt follows.
@@ -113,29 +113,29 @@
 pub struct Attempts {
     kind: catalog::Kind,
     /// Endpoints that the request may arrive at.
-    max_arrivals: u32,
-    arrivals: u32,
-    tries: u32,
+    max_reached: u32,
+    reached: u32,
+    attempts: u32,
     outcome: outcome::Outcome,
 }
 
 impl Attempts {
     /// Makes a request without attempts.
     #[must_use]
-    pub const fn new(kind: catalog::Kind, max_arrivals: u32) -> Self {
+    pub const fn new(kind: catalog::Kind, max_reached: u32) -> Self {
         Self {
             kind,
-            max_arrivals,
-            arrivals: 0,
-            tries: 0,
+            max_reached,
+            reached: 0,
+            attempts: 0,
             outcome: outcome::Outcome::NotRun,
         }
     }
 
     /// Tries so far.
     #[must_use]
-    pub const fn tries(&self) -> u32 {
-        self.tries
+    pub const fn count(&self) -> u32 {
+        self.attempts
     }
 
     /// Whether the request ran, joined over the attempts that have ended.
@@ -146,27 +146,27 @@
 
     /// Takes in how an attempt ended and decides what follows. `withdraw` takes one repeat from
     /// the budget and is called only if all else allows another attempt.
-    pub fn ended<F>(&mut self, ending: Ending, withdraw: F) -> Next
+    pub fn record_failure<F>(&mut self, failure: AttemptFailure, withdraw: F) -> Next
     where
         F: FnOnce() -> bool,
     {
-        self.tries += 1;
-        self.arrivals += u32::from(ending.arrived());
-        self.outcome = self.outcome.join(ending.outcome());
-        match self.forbidden(ending) {
+        self.attempts += 1;
+        self.reached += u32::from(failure.reached_endpoint());
+        self.outcome = self.outcome.join(failure.outcome());
+        match self.stop_reason(failure) {
             Some(reason) => self.give_up(reason),
             // The endpoint sees no arrival, so there is nothing to take from the budget.
-            None if ending.is_unsent() => Next::Again(ending.retry()),
-            None if withdraw() => Next::Again(ending.retry()),
+            None if failure.is_unsent() => Next::Retry(failure.retry()),
+            None if withdraw() => Next::Retry(failure.retry()),
             None => self.give_up(reason::Refusal::RetryBudget),
         }
     }
 
     /// Why no other attempt may follow, whatever the budget holds.
-    fn forbidden(&self, ending: Ending) -> Option<reason::Refusal> {
+    fn stop_reason(&self, failure: AttemptFailure) -> Option<reason::Refusal> {
         let may_repeat = self.kind.is_idempotent() || self.outcome == outcome::Outcome::NotRun;
-        let exhausted = self.arrivals >= self.max_arrivals || self.tries >= MAX_TRIES;
-        (!may_repeat || exhausted).then(|| ending.refusal())
+        let exhausted = self.reached >= self.max_reached || self.attempts >= MAX_ATTEMPTS;
+        (!may_repeat || exhausted).then(|| failure.refusal())
     }
 
     const fn give_up(&self, reason: reason::Refusal) -> Next {
--- a/crates/core/src/retry/backoff.rs
+++ b/crates/core/src/retry/backoff.rs
@@ -30,24 +30,24 @@
     pub fn delay(self, n: u32, seed: u64) -> Duration {
         let factor = 1_u64 << n.min(MAX_DOUBLINGS);
         let longest_ms = self.base_ms.saturating_mul(factor).min(self.max_ms);
-        spread(Duration::from_millis(longest_ms), mix(seed, n))
+        jitter(Duration::from_millis(longest_ms), hash_seed(seed, n))
     }
 }
 
 /// Spreads a delay evenly over `[longest / 2, longest]`, so that callers which were refused
 /// together do not come back together.
-pub(super) fn spread(longest: Duration, random: u64) -> Duration {
+pub(super) fn jitter(longest: Duration, random: u64) -> Duration {
     let half_micros = longest.as_micros() as u64 / 2;
     Duration::from_micros(half_micros + random % (half_micros + 1))
 }
 
 /// Hashes the seed of a request and a number into an even 64-bit value.
-pub(super) fn mix(seed: u64, n: u32) -> u64 {
+pub(super) fn hash_seed(seed: u64, n: u32) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(&n.to_le_bytes(), seed)
 }
 
 /// Whole seconds of the `Retry-After` header, rounded up.
 #[must_use]
-pub const fn whole_seconds(delay: Duration) -> u64 {
+pub const fn ceil_secs(delay: Duration) -> u64 {
     delay.as_secs() + (delay.subsec_nanos() > 0) as u64
 }
--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -3,7 +3,7 @@
 use crate::reason;
 
 /// Thousandths of a retry in one retry.
-const RETRY_MILLIS: u64 = 1_000;
+const THOUSANDTHS_PER_RETRY: u64 = 1_000;
 
 /// Settings of the retry budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -40,7 +40,7 @@
     #[must_use]
     pub fn share(&self, hosts: u32) -> BudgetConfig {
         BudgetConfig {
-            per_request_millis: (self.ratio * RETRY_MILLIS as f64) as u64,
+            per_request_millis: (self.ratio * THOUSANDTHS_PER_RETRY as f64) as u64,
             reserve: (self.extra / f64::from(hosts.max(1))) as u64,
         }
     }
@@ -119,8 +119,8 @@
     pub fn withdraw(&mut self, charge: Charge) -> bool {
         match charge {
             Charge::Free => true,
-            Charge::Budget if self.balance >= RETRY_MILLIS => {
-                self.balance -= RETRY_MILLIS;
+            Charge::Budget if self.balance >= THOUSANDTHS_PER_RETRY => {
+                self.balance -= THOUSANDTHS_PER_RETRY;
                 true
             }
             Charge::Budget => false,
@@ -130,10 +130,10 @@
     /// Whole retries that the budget holds.
     #[must_use]
     pub const fn available(&self) -> u64 {
-        self.balance / RETRY_MILLIS
+        self.balance / THOUSANDTHS_PER_RETRY
     }
 
     const fn capacity(cfg: BudgetConfig) -> u64 {
-        cfg.reserve.saturating_mul(RETRY_MILLIS)
+        cfg.reserve.saturating_mul(THOUSANDTHS_PER_RETRY)
     }
 }
--- a/crates/core/src/retry/decision.rs
+++ b/crates/core/src/retry/decision.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use crate::retry::backoff::{mix, spread};
+use crate::retry::backoff::{hash_seed, jitter};
 use crate::{outcome, reason, request, retry, time};
 
 /// Number of the delay before the caller may come back, apart from those of the retries.
-const CALLER_DELAY: u32 = u32::MAX;
+const CALLER_DELAY_INDEX: u32 = u32::MAX;
 
 /// Settings of the retries of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recovery {
     /// Nothing was delivered yet: the request can be run from its start.
-    Repeat,
+    Restart,
     /// Part of the answer was delivered and the engine can send the rest of the same answer.
     Resume,
     /// Part of the answer was delivered and the rest of it cannot be had.
@@ -87,9 +87,9 @@
 
 /// Attempts of one request.
 #[derive(Clone, Debug)]
-pub struct Request {
+pub struct RetryState {
     cfg: Config,
-    repeat: request::Repeat,
+    idempotency: request::Idempotency,
     deadline: time::Time,
     seed: u64,
     /// Attempts started.
@@ -100,14 +100,14 @@
     outcome: outcome::Outcome,
 }
 
-impl Request {
+impl RetryState {
     /// Makes a request without attempts and adds its share to the budget of the host.
     ///
     /// The seed spreads the delays; it should differ from request to request.
     #[must_use]
     pub fn new(
         cfg: Config,
-        repeat: request::Repeat,
+        idempotency: request::Idempotency,
         deadline: time::Time,
         seed: u64,
         budget: &mut retry::Budget,
@@ -115,7 +115,7 @@
         budget.deposit();
         Self {
             cfg,
-            repeat,
+            idempotency,
             deadline,
             seed,
             attempts: 0,
@@ -129,7 +129,7 @@
     /// # Errors
     ///
     /// Returns the answer for the caller if the deadline has passed.
-    pub fn start(&mut self, now: time::Time) -> Result<u8, GivenUp> {
+    pub fn start_attempt(&mut self, now: time::Time) -> Result<u8, GivenUp> {
         if now >= self.deadline {
             return Err(self.given_up(reason::Refusal::Deadline, reason::Refusal::Deadline, None));
         }
@@ -157,28 +157,28 @@
     }
 
     /// Records that an attempt failed and decides what follows.
-    pub fn failed(
+    pub fn record_failure(
         &mut self,
         now: time::Time,
         failure: Failure,
         budget: &mut retry::Budget,
     ) -> Decision {
         self.outcome = self.outcome.join(failure.outcome);
-        match self.next_attempt(now, &failure, budget) {
+        match self.plan_retry(now, &failure, budget) {
             Ok((reason, at)) => Decision::Retry { reason, at },
             Err(stop) => Decision::GiveUp(self.given_up(stop, failure.reason, failure.retry_after)),
         }
     }
 
     /// Why and when the request is sent again, or the reason that the caller gets.
-    fn next_attempt(
+    fn plan_retry(
         &mut self,
         now: time::Time,
         failure: &Failure,
         budget: &mut retry::Budget,
     ) -> Result<(reason::Retry, time::Time), reason::Refusal> {
         let cause = failure.reason;
-        let reason = self.allowed(failure).ok_or(cause)?;
+        let reason = self.retry_reason(failure).ok_or(cause)?;
         if self.attempts >= self.cfg.max_attempts {
             return Err(cause);
         }
@@ -193,15 +193,17 @@
     }
 
     /// The reason for another attempt if one does no harm.
-    fn allowed(&self, failure: &Failure) -> Option<reason::Retry> {
+    fn retry_reason(&self, failure: &Failure) -> Option<reason::Retry> {
         let reason = reason::Retry::of(failure.reason);
         match failure.recovery {
             Recovery::Resume => Some(reason::Retry::Resume),
             Recovery::Impossible => None,
-            Recovery::Repeat => match self.repeat {
-                request::Repeat::Idempotent => reason,
-                request::Repeat::AtMostOnce if self.outcome == outcome::Outcome::NotRun => reason,
-                request::Repeat::AtMostOnce => None,
+            Recovery::Restart => match self.idempotency {
+                request::Idempotency::Idempotent => reason,
+                request::Idempotency::AtMostOnce if self.outcome == outcome::Outcome::NotRun => {
+                    reason
+                }
+                request::Idempotency::AtMostOnce => None,
             },
         }
     }
@@ -241,7 +243,7 @@
     fn caller_delay(&self, reason: reason::Refusal) -> Option<Duration> {
         let may_help = matches!(reason.status(), 429 | 502 | 503 | 504);
         let longest = Duration::from_millis(self.cfg.caller_delay_ms);
-        may_help.then(|| spread(longest, mix(self.seed, CALLER_DELAY)))
+        may_help.then(|| jitter(longest, hash_seed(self.seed, CALLER_DELAY_INDEX)))
     }
 }
 
--- a/crates/core/src/retry/mod.rs
+++ b/crates/core/src/retry/mod.rs
@@ -1,6 +1,6 @@
 //! Whether a request whose attempt failed is sent again, when, and what its caller is told.
 //!
-//! One [`Request`] joins the evidence of its attempts into one outcome. Another attempt is made
+//! One [`RetryState`] joins the evidence of its attempts into one outcome. Another attempt is made
 //! only if running the request again does no harm or no earlier attempt can have run, and only
 //! within four limits: attempts, the deadline, the hops of a forwarded request and the
 //! [`Budget`] of the host. A request that is given up gets its answer at once, with the delay
@@ -14,11 +14,11 @@
 mod attempts;
 mod backoff;
 mod budget;
-mod come_back;
 mod decision;
+mod retry_after;
 
-pub use attempts::{Attempts, Ending, MAX_TRIES, Next};
-pub use backoff::{Backoff, whole_seconds};
+pub use attempts::{AttemptFailure, Attempts, MAX_ATTEMPTS, Next};
+pub use backoff::{Backoff, ceil_secs};
 pub use budget::{Budget, BudgetConfig, Charge, FleetBudget};
-pub use come_back::come_back;
-pub use decision::{Config, Decision, Failure, GivenUp, Recovery, Request, next_hop};
+pub use decision::{Config, Decision, Failure, GivenUp, Recovery, RetryState, next_hop};
+pub use retry_after::retry_after;
--- a/crates/core/tests/answer.rs
+++ b/crates/core/tests/answer.rs
@@ -196,7 +196,7 @@
         for number in 0..6 {
             let Some(failure) = trial.attempt(number, &mut faults) else { break };
             match failure.recovery {
-                retry::Recovery::Repeat => prop_assert!(trial.body.is_empty()),
+                retry::Recovery::Restart => prop_assert!(trial.body.is_empty()),
                 retry::Recovery::Resume => prop_assert!(stream),
                 retry::Recovery::Impossible => break,
             }
@@ -238,7 +238,7 @@
     };
     assert_eq!(failure.reason, reason::Refusal::AnswerIncomplete);
     assert_eq!(failure.outcome, outcome::Outcome::Run);
-    assert_eq!(failure.recovery, retry::Recovery::Repeat);
+    assert_eq!(failure.recovery, retry::Recovery::Restart);
 }
 
 #[test]
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -4,7 +4,7 @@
 
 use pistachiochute_core::catalog::Kind;
 use pistachiochute_core::retry::{
-    Attempts, Budget, Charge, Ending, FleetBudget, MAX_TRIES, Next, come_back,
+    AttemptFailure, Attempts, Budget, Charge, FleetBudget, MAX_ATTEMPTS, Next, retry_after,
 };
 use pistachiochute_core::{outcome, reason, time};
 use proptest::prelude::{Strategy, proptest};
@@ -14,19 +14,19 @@
 
 const SEED: u64 = 0xa77e;
 
-const ENDINGS: [Ending; 8] = [
-    Ending::AtLimit,
-    Ending::NotSent,
-    Ending::Refused,
-    Ending::Elsewhere,
-    Ending::Failed,
-    Ending::Damaged,
-    Ending::Lost,
-    Ending::Stalled,
+const FAILURES: [AttemptFailure; 8] = [
+    AttemptFailure::AtLimit,
+    AttemptFailure::NotSent,
+    AttemptFailure::Refused,
+    AttemptFailure::EndpointReplaced,
+    AttemptFailure::Failed,
+    AttemptFailure::InvalidAnswer,
+    AttemptFailure::ConnectionLost,
+    AttemptFailure::Stalled,
 ];
 
-fn any_ending() -> impl Strategy<Value = Ending> {
-    select(&ENDINGS[..])
+fn any_failure() -> impl Strategy<Value = AttemptFailure> {
+    select(&FAILURES[..])
 }
 
 fn config() -> Config {
@@ -41,7 +41,7 @@
 #[test]
 fn a_lost_call_that_may_not_be_repeated_is_given_up_as_unknown() {
     let mut attempts = Attempts::new(Kind::AtMostOnce, 3);
-    let next = attempts.ended(Ending::Lost, || true);
+    let next = attempts.record_failure(AttemptFailure::ConnectionLost, || true);
     let expected = Next::GiveUp {
         reason: reason::Refusal::ConnectionLost,
         outcome: outcome::Outcome::Unknown,
@@ -52,29 +52,32 @@
 #[test]
 fn a_connection_that_was_never_made_costs_no_arrival_and_no_budget() {
     let mut attempts = Attempts::new(Kind::AtMostOnce, 1);
-    let next = attempts.ended(Ending::NotSent, || panic!("no budget is needed"));
-    assert_eq!(next, Next::Again(reason::Retry::ConnectFailed));
+    let next = attempts.record_failure(AttemptFailure::NotSent, || panic!("no budget is needed"));
+    assert_eq!(next, Next::Retry(reason::Retry::ConnectFailed));
 }
 
 #[test]
 fn an_idempotent_call_that_failed_goes_to_another_endpoint_within_its_limit() {
     let mut attempts = Attempts::new(Kind::Idempotent, 2);
-    let again = Next::Again(reason::Retry::EndpointFailed);
-    assert_eq!(attempts.ended(Ending::Failed, || true), again);
-    let given_up = attempts.ended(Ending::Failed, || true);
+    let again = Next::Retry(reason::Retry::EndpointFailed);
+    assert_eq!(
+        attempts.record_failure(AttemptFailure::Failed, || true),
+        again
+    );
+    let given_up = attempts.record_failure(AttemptFailure::Failed, || true);
     assert!(matches!(given_up, Next::GiveUp { .. }));
 }
 
 /// Callers that no host can serve for now come back later than those that another host can serve,
 /// and well within the time that they have.
 #[test]
-fn callers_come_back_by_what_can_have_changed() {
+fn retry_after_is_longer_when_no_host_can_serve() {
     let left = Duration::from_secs(3);
     let (mut elsewhere, mut nowhere) = (Duration::ZERO, Duration::MAX);
     for seed in 0..10_000 {
         let spread = seed * 7_919;
-        let draining = come_back(reason::Refusal::Draining, left, spread);
-        let unreachable = come_back(reason::Refusal::NoEndpoint, left, spread);
+        let draining = retry_after(reason::Refusal::Draining, left, spread);
+        let unreachable = retry_after(reason::Refusal::NoEndpoint, left, spread);
         elsewhere = elsewhere.max(draining);
         nowhere = nowhere.min(unreachable);
         assert!(unreachable <= left / 3);
@@ -86,7 +89,7 @@
 #[test]
 fn an_empty_budget_ends_the_attempts() {
     let mut attempts = Attempts::new(Kind::Idempotent, 2);
-    let next = attempts.ended(Ending::Failed, || false);
+    let next = attempts.record_failure(AttemptFailure::Failed, || false);
     let expected = Next::GiveUp {
         reason: reason::Refusal::RetryBudget,
         outcome: outcome::Outcome::Run,
@@ -100,14 +103,14 @@
     /// A request that may run once is never sent again after it may have run, and "not run" is
     /// said only if every attempt was proved not to have run.
     #[test]
-    fn at_most_once_holds(endings in collection::vec(any_ending(), 1..10)) {
+    fn at_most_once_holds(failures in collection::vec(any_failure(), 1..10)) {
         let mut attempts = Attempts::new(Kind::AtMostOnce, 9);
         let mut may_have_run = false;
-        for ending in endings {
-            let next = attempts.ended(ending, || true);
-            may_have_run |= ending.outcome() != outcome::Outcome::NotRun;
+        for failure in failures {
+            let next = attempts.record_failure(failure, || true);
+            may_have_run |= failure.outcome() != outcome::Outcome::NotRun;
             match next {
-                Next::Again(_) => prop_assert!(!may_have_run),
+                Next::Retry(_) => prop_assert!(!may_have_run),
                 Next::GiveUp { outcome, .. } => {
                     prop_assert!((outcome == outcome::Outcome::NotRun) != may_have_run);
                     break;
@@ -119,19 +122,19 @@
     /// No request arrives at more endpoints than its route allows.
     #[test]
     fn arrivals_are_bounded(
-        endings in collection::vec(any_ending(), 1..20),
+        failures in collection::vec(any_failure(), 1..20),
         max in 1_u32..4,
     ) {
         let mut attempts = Attempts::new(Kind::Idempotent, max);
-        let mut arrivals = 0;
-        for ending in endings {
-            arrivals += u32::from(!matches!(
-                ending,
-                Ending::AtLimit | Ending::NotSent | Ending::Elsewhere
+        let mut reached = 0;
+        for failure in failures {
+            reached += u32::from(!matches!(
+                failure,
+                AttemptFailure::AtLimit | AttemptFailure::NotSent | AttemptFailure::EndpointReplaced
             ));
-            prop_assert!(arrivals <= max);
-            prop_assert!(attempts.tries() < MAX_TRIES);
-            if let Next::GiveUp { .. } = attempts.ended(ending, || true) {
+            prop_assert!(reached <= max);
+            prop_assert!(attempts.count() < MAX_ATTEMPTS);
+            if let Next::GiveUp { .. } = attempts.record_failure(failure, || true) {
                 break;
             }
         }
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -30,10 +30,10 @@
     (0..reason::Refusal::ALL.len()).prop_map(|i| reason::Refusal::ALL[i])
 }
 
-fn any_repeat() -> impl Strategy<Value = request::Repeat> {
+fn any_repeat() -> impl Strategy<Value = request::Idempotency> {
     prop_oneof![
-        Just(request::Repeat::Idempotent),
-        Just(request::Repeat::AtMostOnce)
+        Just(request::Idempotency::Idempotent),
+        Just(request::Idempotency::AtMostOnce)
     ]
 }
 
@@ -59,7 +59,7 @@
         if self.refused {
             return outcome::Outcome::NotRun;
         }
-        self.progress.if_lost()
+        self.progress.outcome_if_lost()
     }
 }
 
@@ -84,7 +84,7 @@
     retry::Failure {
         reason,
         outcome,
-        recovery: retry::Recovery::Repeat,
+        recovery: retry::Recovery::Restart,
         retry_after: None,
     }
 }
@@ -93,9 +93,9 @@
     retry::Budget::new(retry::BudgetConfig::default())
 }
 
-fn request(repeat: request::Repeat, budget: &mut retry::Budget) -> retry::Request {
+fn request(repeat: request::Idempotency, budget: &mut retry::Budget) -> retry::RetryState {
     let deadline = time::Time::from_secs(30);
-    retry::Request::new(retry::Config::default(), repeat, deadline, SEED, budget)
+    retry::RetryState::new(retry::Config::default(), repeat, deadline, SEED, budget)
 }
 
 proptest! {
@@ -119,18 +119,18 @@
         let mut now = time::Time::ZERO;
         let mut runs = 0;
         for (attempt, reason) in attempts {
-            if req.start(now).is_err() {
+            if req.start_attempt(now).is_err() {
                 break;
             }
             runs += u32::from(attempt.ran);
             let failed = failure(reason, attempt.evidence());
-            match req.failed(now, failed, &mut budget) {
+            match req.record_failure(now, failed, &mut budget) {
                 retry::Decision::Retry { at, .. } => now = at,
                 retry::Decision::GiveUp(_) => break,
             }
         }
         prop_assert!(req.outcome() != outcome::Outcome::NotRun || runs == 0);
-        if repeat == request::Repeat::AtMostOnce {
+        if repeat == request::Idempotency::AtMostOnce {
             prop_assert!(runs <= 1);
         }
     }
@@ -140,15 +140,15 @@
         let cfg = retry::Config::default();
         let mut budget = full_budget();
         let deadline = time::Time::from_millis(remaining_ms);
-        let repeat = request::Repeat::Idempotent;
-        let mut req = retry::Request::new(cfg, repeat, deadline, SEED, &mut budget);
+        let repeat = request::Idempotency::Idempotent;
+        let mut req = retry::RetryState::new(cfg, repeat, deadline, SEED, &mut budget);
         let mut now = time::Time::ZERO;
         for reason in reasons {
-            if req.start(now).is_err() {
+            if req.start_attempt(now).is_err() {
                 break;
             }
             let failed = failure(reason, outcome::Outcome::Unknown);
-            match req.failed(now, failed, &mut budget) {
+            match req.record_failure(now, failed, &mut budget) {
                 retry::Decision::Retry { at, .. } => {
                     prop_assert!(at >= now && at < deadline);
                     now = at;
@@ -175,18 +175,18 @@
     let mut attempts = 0;
     for i in 0..REQUESTS {
         let mut now = time::Time::from_millis(u64::from(i) * 100);
-        let mut req = retry::Request::new(
+        let mut req = retry::RetryState::new(
             retry::Config::default(),
-            request::Repeat::Idempotent,
+            request::Idempotency::Idempotent,
             now + Duration::from_secs(10),
             u64::from(i),
             &mut budget,
         );
         loop {
-            req.start(now).expect("the deadline has not passed");
+            req.start_attempt(now).expect("the deadline has not passed");
             attempts += 1;
             let failed = failure(reason::Refusal::ConnectFailed, outcome::Outcome::NotRun);
-            match req.failed(now, failed, &mut budget) {
+            match req.record_failure(now, failed, &mut budget) {
                 retry::Decision::Retry { at, .. } => now = at,
                 retry::Decision::GiveUp(given_up) => {
                     assert_eq!(given_up.outcome, outcome::Outcome::NotRun);
@@ -202,11 +202,11 @@
 #[test]
 fn an_action_that_may_have_run_is_not_sent_again() {
     let mut budget = full_budget();
-    let mut req = request(request::Repeat::AtMostOnce, &mut budget);
+    let mut req = request(request::Idempotency::AtMostOnce, &mut budget);
     let now = time::Time::ZERO;
-    req.start(now).expect("the deadline has not passed");
+    req.start_attempt(now).expect("the deadline has not passed");
     let failed = failure(reason::Refusal::ConnectionLost, outcome::Outcome::Unknown);
-    let retry::Decision::GiveUp(given_up) = req.failed(now, failed, &mut budget) else {
+    let retry::Decision::GiveUp(given_up) = req.record_failure(now, failed, &mut budget) else {
         panic!("sent again");
     };
     assert_eq!(given_up.reason, reason::Refusal::ConnectionLost);
@@ -219,14 +219,14 @@
         per_request_millis: 0,
         reserve: 0,
     });
-    let mut req = request(request::Repeat::AtMostOnce, &mut budget);
+    let mut req = request(request::Idempotency::AtMostOnce, &mut budget);
     let now = time::Time::ZERO;
-    req.start(now).expect("the deadline has not passed");
+    req.start_attempt(now).expect("the deadline has not passed");
     let cut = retry::Failure {
         recovery: retry::Recovery::Resume,
         ..failure(reason::Refusal::ConnectionLost, outcome::Outcome::Run)
     };
-    let decision = req.failed(now, cut, &mut budget);
+    let decision = req.record_failure(now, cut, &mut budget);
     let reason = reason::Retry::Resume;
     assert_eq!(decision, retry::Decision::Retry { reason, at: now });
 }
@@ -234,9 +234,9 @@
 #[test]
 fn a_request_past_its_deadline_is_refused_at_once() {
     let mut budget = full_budget();
-    let mut req = request(request::Repeat::Idempotent, &mut budget);
+    let mut req = request(request::Idempotency::Idempotent, &mut budget);
     let late = time::Time::from_secs(31);
-    let given_up = req.start(late).expect_err("past the deadline");
+    let given_up = req.start_attempt(late).expect_err("past the deadline");
     assert_eq!(given_up.reason, reason::Refusal::Deadline);
     assert_eq!(given_up.outcome, outcome::Outcome::NotRun);
 }
@@ -251,6 +251,6 @@
 
 #[test]
 fn retry_after_rounds_up_to_seconds() {
-    assert_eq!(retry::whole_seconds(Duration::from_millis(1)), 1);
-    assert_eq!(retry::whole_seconds(Duration::from_secs(2)), 2);
+    assert_eq!(retry::ceil_secs(Duration::from_millis(1)), 1);
+    assert_eq!(retry::ceil_secs(Duration::from_secs(2)), 2);
 }
--- a/crates/gateway/src/traffic/exchange.rs
+++ b/crates/gateway/src/traffic/exchange.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt as _, Full, Limited};
 use hyper::body::Incoming;
 use pistachiochute_core::health;
-use pistachiochute_core::retry::Ending;
+use pistachiochute_core::retry::AttemptFailure;
 use pistachiochute_runtime::clock;
 
 use crate::adapter;
@@ -60,7 +60,7 @@
     Stream(response::Parts, Box<Opened<D>>),
     /// No answer for the caller, or one that says that the endpoint failed.
     Ended {
-        ending: Ending,
+        ending: AttemptFailure,
         cause: String,
         /// The endpoint's own answer, which the caller gets if there is no other.
         failure: Option<Whole>,
@@ -78,7 +78,7 @@
     pub stall: Option<Duration>,
 }
 
-fn ended<D, C>(ending: Ending, cause: C) -> Exchanged<D>
+fn ended<D, C>(ending: AttemptFailure, cause: C) -> Exchanged<D>
 where
     D: adapter::Dialect,
     C: Into<String>,
@@ -102,7 +102,7 @@
         true => tokio::time::timeout(limit, exchange_in(cx, attempt, left)).await,
         false => tokio::time::timeout(left + DEADLINE_GRACE, exchange_in(cx, attempt, left)).await,
     };
-    let exchanged = result.unwrap_or_else(|_| ended(Ending::Stalled, "no answer in time"));
+    let exchanged = result.unwrap_or_else(|_| ended(AttemptFailure::Stalled, "no answer in time"));
     sign(cx, attempt, &exchanged);
     exchanged
 }
@@ -115,10 +115,13 @@
     let sign = match exchanged {
         Exchanged::Whole(_) | Exchanged::Stream(..) => health::Sign::Served,
         Exchanged::Ended { ending, .. } => match ending {
-            Ending::NotSent => health::Sign::ConnectFailed,
-            Ending::Elsewhere => health::Sign::Replaced,
-            Ending::Lost | Ending::Stalled => health::Sign::Stalled,
-            Ending::AtLimit | Ending::Refused | Ending::Failed | Ending::Damaged => return,
+            AttemptFailure::NotSent => health::Sign::ConnectFailed,
+            AttemptFailure::EndpointReplaced => health::Sign::Replaced,
+            AttemptFailure::ConnectionLost | AttemptFailure::Stalled => health::Sign::Stalled,
+            AttemptFailure::AtLimit
+            | AttemptFailure::Refused
+            | AttemptFailure::Failed
+            | AttemptFailure::InvalidAnswer => return,
         },
     };
     let now = clock::now();
@@ -142,19 +145,21 @@
         .take(&attempt.chosen.endpoint, at_most_once, max, hosts);
     let mut connection = match taken.await {
         Ok(connection) => connection,
-        Err(e @ pool::NoConnection::AtLimit) => return ended(Ending::AtLimit, e.to_string()),
-        Err(e) => return ended(Ending::NotSent, e.to_string()),
+        Err(e @ pool::NoConnection::AtLimit) => {
+            return ended(AttemptFailure::AtLimit, e.to_string());
+        }
+        Err(e) => return ended(AttemptFailure::NotSent, e.to_string()),
     };
     let req = match request(cx, attempt, left) {
         Ok(req) => req,
-        Err(e) => return ended(Ending::NotSent, e.to_string()),
+        Err(e) => return ended(AttemptFailure::NotSent, e.to_string()),
     };
     match connection.sender().try_send_request(req).await {
         Ok(answer) => judge(cx, attempt, answer, connection, in_progress).await,
         Err(mut e) => {
             let ending = match e.take_message() {
-                Some(_) => Ending::NotSent,
-                None => Ending::Lost,
+                Some(_) => AttemptFailure::NotSent,
+                None => AttemptFailure::ConnectionLost,
             };
             ended(ending, e.into_error().to_string())
         }
@@ -215,21 +220,24 @@
     // A late answer to an earlier request may stand where this one is due.
     let may_be_late = head.id.is_some() || !connection.is_new();
     if may_be_late && head.id.as_ref() != Some(&attempt.outgoing.id) {
-        return ended(Ending::Damaged, "answer to another request");
+        return ended(AttemptFailure::InvalidAnswer, "answer to another request");
     }
     if parts.status == StatusCode::MISDIRECTED_REQUEST {
-        return ended(Ending::Elsewhere, "another endpoint has the address");
+        return ended(
+            AttemptFailure::EndpointReplaced,
+            "another endpoint has the address",
+        );
     }
     if head.is_not_run {
         let cause = format!("refused with status {}", parts.status.as_u16());
         drain(body, connection, head.idle_limit).await;
-        return ended(Ending::Refused, cause);
+        return ended(AttemptFailure::Refused, cause);
     }
     if !head.is_sealed {
         let cause = format!("status {} without a seal", parts.status.as_u16());
         return match parts.status.is_success() {
-            true => ended(Ending::Damaged, cause),
-            false => ended(Ending::Failed, cause),
+            true => ended(AttemptFailure::InvalidAnswer, cause),
+            false => ended(AttemptFailure::Failed, cause),
         };
     }
     cx.dialect.strip_internal_headers(&mut parts.headers);
@@ -264,7 +272,7 @@
 {
     let body = match Limited::new(body, MAX_WHOLE_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
-        Err(e) => return ended(Ending::Lost, format!("body: {e}")),
+        Err(e) => return ended(AttemptFailure::ConnectionLost, format!("body: {e}")),
     };
     connection.keep(idle_limit);
     // The library states the length of what it sends.
@@ -273,7 +281,7 @@
     if whole.parts.status.is_server_error() {
         let cause = format!("status {}", whole.parts.status.as_u16());
         return Exchanged::Ended {
-            ending: Ending::Failed,
+            ending: AttemptFailure::Failed,
             cause,
             failure: Some(whole),
         };
--- a/crates/gateway/src/traffic/reply.rs
+++ b/crates/gateway/src/traffic/reply.rs
@@ -131,7 +131,7 @@
     let may_come_back =
         status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS;
     if may_come_back {
-        let delay = retry::come_back(reason, left, seed);
+        let delay = retry::retry_after(reason, left, seed);
         headers.insert(header::RETRY_AFTER, seconds(delay));
     }
     response
--- a/crates/gateway/src/traffic/serve.rs
+++ b/crates/gateway/src/traffic/serve.rs
@@ -208,7 +208,7 @@
         let next = next(&cx, origin, ending);
         log_attempt(&cx, origin, &chosen, (ending, &cause, next));
         match next {
-            retry::Next::Again(reason) => cx.metrics.retried(reason),
+            retry::Next::Retry(reason) => cx.metrics.retried(reason),
             retry::Next::GiveUp { reason, outcome } => {
                 return give_up(origin, failed, reason, outcome);
             }
@@ -255,7 +255,7 @@
 {
     let route = &origin.plan.route;
     let service = &origin.plan.service().name;
-    let is_last = origin.attempts.tries() + 1 >= route.max_attempts;
+    let is_last = origin.attempts.count() + 1 >= route.max_attempts;
     if is_last || !cx.fleet.borrow().has_other(service, &origin.tried) {
         return None;
     }
@@ -268,13 +268,17 @@
 }
 
 /// Decides what follows an attempt, and takes a repeat from the budget if one follows.
-fn next<D>(cx: &Rc<Context<D>>, origin: &mut Origin<D>, ending: retry::Ending) -> retry::Next
+fn next<D>(
+    cx: &Rc<Context<D>>,
+    origin: &mut Origin<D>,
+    ending: retry::AttemptFailure,
+) -> retry::Next
 where
     D: adapter::Dialect,
 {
     let hosts = cx.shared.view().hosts;
     let service = origin.plan.service().name.clone();
-    origin.attempts.ended(ending, || {
+    origin.attempts.record_failure(ending, || {
         let mut fleet = cx.fleet.borrow_mut();
         fleet
             .budget(&service, hosts)
@@ -286,12 +290,12 @@
     cx: &Rc<Context<D>>,
     origin: &Origin<D>,
     chosen: &fleet::Chosen,
-    (ending, cause, next): (retry::Ending, &str, retry::Next),
+    (ending, cause, next): (retry::AttemptFailure, &str, retry::Next),
 ) where
     D: adapter::Dialect,
 {
     let next = match next {
-        retry::Next::Again(reason) => reason.as_str(),
+        retry::Next::Retry(reason) => reason.as_str(),
         retry::Next::GiveUp { reason, .. } => reason.as_str(),
     };
     cx.events.attempt(&events::AttemptLine {
@@ -360,7 +364,9 @@
     D: adapter::Dialect,
 {
     let cx = origin.cx.clone();
-    if let retry::Next::GiveUp { .. } = next(&cx, &mut origin, retry::Ending::Lost) {
+    if let retry::Next::GiveUp { .. } =
+        next(&cx, &mut origin, retry::AttemptFailure::ConnectionLost)
+    {
         return (origin, Err(Cut::new(cause)));
     }
     cx.metrics.retried(reason::Retry::Resume);
--- a/crates/measure/src/actions/answers.rs
+++ b/crates/measure/src/actions/answers.rs
@@ -117,7 +117,7 @@
             let failure = self.attempt(&frames);
             self.stray.extend(frames);
             match failure.map(|failure| failure.recovery) {
-                Some(retry::Recovery::Repeat | retry::Recovery::Resume) => {}
+                Some(retry::Recovery::Restart | retry::Recovery::Resume) => {}
                 Some(retry::Recovery::Impossible) | None => return,
             }
         }
--- a/crates/measure/src/actions/outage.rs
+++ b/crates/measure/src/actions/outage.rs
@@ -28,16 +28,16 @@
 fn attempts_of(n: u64, budget: &mut retry::Budget) -> u64 {
     let mut now = time::Time::from_millis(n * 1_000 / REQUESTS_PER_S);
     let cfg = retry::Config::default();
-    let repeat = request::Repeat::Idempotent;
-    let mut req = retry::Request::new(cfg, repeat, now + PATIENCE, n, budget);
-    while req.start(now).is_ok() {
+    let repeat = request::Idempotency::Idempotent;
+    let mut req = retry::RetryState::new(cfg, repeat, now + PATIENCE, n, budget);
+    while req.start_attempt(now).is_ok() {
         let failure = retry::Failure {
             reason: reason::Refusal::ConnectFailed,
             outcome: outcome::Outcome::NotRun,
-            recovery: retry::Recovery::Repeat,
+            recovery: retry::Recovery::Restart,
             retry_after: None,
         };
-        match req.failed(now, failure, budget) {
+        match req.record_failure(now, failure, budget) {
             retry::Decision::Retry { at, .. } => now = at,
             retry::Decision::GiveUp(_) => break,
         }
--- a/crates/measure/src/slopes/roles.rs
+++ b/crates/measure/src/slopes/roles.rs
@@ -243,7 +243,7 @@
         priority: 0,
         target: request::Target::Model(model()),
         chat: Some(request::ChatKey(5)),
-        repeat: request::Repeat::Idempotent,
+        repeat: request::Idempotency::Idempotent,
         key: None,
         cost: units::Tokens(1_000),
         prompt: units::Tokens(700),
--- a/crates/messages/src/forward.rs
+++ b/crates/messages/src/forward.rs
@@ -30,7 +30,7 @@
     /// Chat of the request, if it has one.
     pub chat: Option<request::ChatKey>,
     /// Whether the request may be sent again after it may have run.
-    pub repeat: request::Repeat,
+    pub repeat: request::Idempotency,
     /// Idempotency key of the caller.
     pub key: Option<uuid::Uuid>,
     /// Estimated work in tokens, prompt and answer.
--- a/crates/runtime/src/control/command.rs
+++ b/crates/runtime/src/control/command.rs
@@ -27,14 +27,14 @@
     },
     Retries {
         request: request::RequestId,
-        repeat: request::Repeat,
+        repeat: request::Idempotency,
         deadline: time::Time,
-        tx: channel::Sender<retry::Request>,
+        tx: channel::Sender<retry::RetryState>,
     },
     Failed {
-        retries: Box<retry::Request>,
+        retries: Box<retry::RetryState>,
         failure: retry::Failure,
-        tx: channel::Sender<(retry::Request, retry::Decision)>,
+        tx: channel::Sender<(retry::RetryState, retry::Decision)>,
     },
     Locate {
         endpoint: entity::EndpointId,
--- a/crates/runtime/src/control/handle.rs
+++ b/crates/runtime/src/control/handle.rs
@@ -77,9 +77,9 @@
     pub fn retries(
         &self,
         request: request::RequestId,
-        repeat: request::Repeat,
+        repeat: request::Idempotency,
         deadline: time::Time,
-    ) -> Option<retry::Request> {
+    ) -> Option<retry::RetryState> {
         self.ask(|tx| Command::Retries {
             request,
             repeat,
@@ -92,9 +92,9 @@
     #[must_use]
     pub fn failed(
         &self,
-        retries: retry::Request,
+        retries: retry::RetryState,
         failure: retry::Failure,
-    ) -> Option<(retry::Request, retry::Decision)> {
+    ) -> Option<(retry::RetryState, retry::Decision)> {
         self.ask(|tx| Command::Failed {
             retries: Box::new(retries),
             failure,
--- a/crates/runtime/src/control/state.rs
+++ b/crates/runtime/src/control/state.rs
@@ -145,7 +145,7 @@
                 failure,
                 tx,
             } => {
-                let decision = retries.failed(now, failure, &mut self.budget);
+                let decision = retries.record_failure(now, failure, &mut self.budget);
                 let _ = tx.send((*retries, decision));
             }
             Command::Locate { endpoint, tx } => {
@@ -215,16 +215,16 @@
     fn retries(
         &mut self,
         request: request::RequestId,
-        repeat: request::Repeat,
+        repeat: request::Idempotency,
         deadline: time::Time,
-    ) -> retry::Request {
+    ) -> retry::RetryState {
         let cfg = retry::Config {
             max_attempts: self.settings.retry.max_attempts,
             max_hops: self.settings.retry.max_hops,
             ..retry::Config::default()
         };
         let seed = request.0.as_u64_pair().1;
-        retry::Request::new(cfg, repeat, deadline, seed, &mut self.budget)
+        retry::RetryState::new(cfg, repeat, deadline, seed, &mut self.budget)
     }
 
     fn host_list(&mut self, now: time::Time, list: &topology::HostList) {
--- a/crates/runtime/src/entry/call.rs
+++ b/crates/runtime/src/entry/call.rs
@@ -24,7 +24,7 @@
     /// Whether the caller asked for a stream of events.
     pub stream: bool,
     /// Whether the request may be sent again after it may have run.
-    pub repeat: request::Repeat,
+    pub repeat: request::Idempotency,
     /// Idempotency key.
     pub key: Option<uuid::Uuid>,
     /// Estimated tokens of the prompt.
--- a/crates/runtime/src/entry/parse.rs
+++ b/crates/runtime/src/entry/parse.rs
@@ -86,10 +86,10 @@
     },
 }
 
-const fn repeat_of(method: forward::Method) -> request::Repeat {
+const fn repeat_of(method: forward::Method) -> request::Idempotency {
     match method {
-        forward::Method::Get => request::Repeat::Idempotent,
-        forward::Method::Post => request::Repeat::AtMostOnce,
+        forward::Method::Get => request::Idempotency::Idempotent,
+        forward::Method::Post => request::Idempotency::AtMostOnce,
     }
 }
 
@@ -216,7 +216,7 @@
         content_type: Bytes::from_static(b"application/json"),
         chat: Some(name),
         stream: chat.stream,
-        repeat: request::Repeat::Idempotent,
+        repeat: request::Idempotency::Idempotent,
         key: None,
         prompt: units::Tokens(body.len() as u64 / BYTES_PER_TOKEN),
         longest_answer: chat
--- a/crates/runtime/src/entry/serve.rs
+++ b/crates/runtime/src/entry/serve.rs
@@ -56,7 +56,7 @@
         let mut hops = hops::Hops::new(&admitted.candidates);
         let mut hop = hops.next();
         loop {
-            let attempt = match retries.start(clock::now()) {
+            let attempt = match retries.start_attempt(clock::now()) {
                 Ok(attempt) => attempt,
                 Err(given_up) => return self.give_up(caller, given_up),
             };
@@ -203,7 +203,7 @@
     }
 }
 
-fn no_endpoint(retries: &retry::Request) -> retry::GivenUp {
+fn no_endpoint(retries: &retry::RetryState) -> retry::GivenUp {
     retry::GivenUp {
         reason: reason::Refusal::NoEndpoint,
         cause: reason::Refusal::NoEndpoint,
--- a/crates/runtime/src/owner/mod.rs
+++ b/crates/runtime/src/owner/mod.rs
@@ -142,7 +142,7 @@
 
     /// Calls the endpoint. An action with a key is dispatched only with a permit of the journal.
     fn call(&self, addr: net::SocketAddr, mut pieces: endpoint::Pieces) {
-        let action = self.head.repeat == request::Repeat::AtMostOnce;
+        let action = self.head.repeat == request::Idempotency::AtMostOnce;
         let Some(key) = self.head.key.filter(|_| action) else {
             let (ended, pieces) = self.dispatch(addr, pieces);
             return reply(ended, pieces);
