--- a/crates/core/src/membership/damping.rs
+++ b/crates/core/src/membership/damping.rs
@@ -8,42 +8,42 @@
 const HALF_LIFE: Duration = Duration::from_secs(20);
 
 /// Penalty of one change from usable to not usable.
-const CHANGE: f64 = 1.0;
+const FLAP_PENALTY: f64 = 1.0;
 
 /// Penalty at which a subject is held out.
-const HOLD: f64 = 2.5;
+const SUPPRESS_THRESHOLD: f64 = 2.5;
 
 /// Penalty at which a subject that was held out is let in again.
-const RELEASE: f64 = 1.0;
+const REUSE_THRESHOLD: f64 = 1.0;
 
 /// Largest penalty, which bounds the time that a subject is held out.
-const MAX: f64 = 5.0;
+const MAX_PENALTY: f64 = 5.0;
 
 /// Penalty of one host or endpoint for its changes.
 ///
 /// Three losses within a few seconds hold the subject out until the penalty has decayed, at most
 /// about 46 s after the last of them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Damping {
+pub struct FlapDamping {
     /// Penalty at `at`.
     penalty: f64,
     at: time::Time,
-    held: bool,
+    suppressed: bool,
 }
 
-impl Damping {
+impl FlapDamping {
     /// Records that the subject stopped being usable.
-    pub fn lost(&mut self, now: time::Time) {
+    pub fn record_flap(&mut self, now: time::Time) {
         self.decay(now);
-        self.penalty = (self.penalty + CHANGE).min(MAX);
-        self.held |= self.penalty >= HOLD;
+        self.penalty = (self.penalty + FLAP_PENALTY).min(MAX_PENALTY);
+        self.suppressed |= self.penalty >= SUPPRESS_THRESHOLD;
     }
 
     /// Whether the subject is held out.
-    pub fn holds(&mut self, now: time::Time) -> bool {
+    pub fn is_suppressed(&mut self, now: time::Time) -> bool {
         self.decay(now);
-        self.held &= self.penalty > RELEASE;
-        self.held
+        self.suppressed &= self.penalty > REUSE_THRESHOLD;
+        self.suppressed
     }
 
     fn decay(&mut self, now: time::Time) {
--- a/crates/core/src/membership/effect.rs
+++ b/crates/core/src/membership/effect.rs
@@ -11,25 +11,25 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Time between two probes of a neighbour.
-    pub period: Duration,
+    pub probe_period: Duration,
     /// Neighbours that are probed.
-    pub neighbours: usize,
+    pub probed_neighbours: usize,
     /// Probes in a row that a neighbour misses before it is suspected.
-    pub missed: u32,
+    pub max_missed_probes: u32,
     /// Time in which a suspicion can be refuted.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// Shortest time between two pushes of new updates.
-    pub push_gap: Duration,
+    pub min_push_interval: Duration,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            period: Duration::from_secs(1),
-            neighbours: 3,
-            missed: 2,
-            suspicion: Duration::from_secs(2),
-            push_gap: Duration::from_millis(100),
+            probe_period: Duration::from_secs(1),
+            probed_neighbours: 3,
+            max_missed_probes: 2,
+            suspicion_timeout: Duration::from_secs(2),
+            min_push_interval: Duration::from_millis(100),
         }
     }
 }
@@ -37,29 +37,29 @@
 /// What has to be done after an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a probe. Its end is told by [`Membership::answered`] or [`Membership::failed`].
-    Send {
+    /// Send a probe. Its end is told by [`Membership::handle_answer`] or [`Membership::handle_probe_failure`].
+    SendProbe {
         /// Host to probe.
         to: entity::HostId,
         /// The probe.
         probe: Probe,
     },
     /// A host starts or stops taking new work.
-    Host {
+    HostChanged {
         /// The host.
         host: entity::HostId,
         /// Whether it takes new work.
         usable: bool,
     },
     /// An endpoint starts or stops leaving.
-    Endpoint {
+    EndpointChanged {
         /// The endpoint.
         endpoint: entity::EndpointId,
         /// Whether it is leaving.
         leaving: bool,
     },
     /// A failure domain becomes or stops being reachable from this host.
-    Domain {
+    DomainChanged {
         /// The domain.
         domain: entity::DomainId,
         /// Whether it can be reached.
--- a/crates/core/src/membership/machine.rs
+++ b/crates/core/src/membership/machine.rs
@@ -4,10 +4,10 @@
 
 use smallvec::SmallVec;
 
-use crate::membership::member::{Mark, Member};
-use crate::membership::reach::Reach;
+use crate::membership::member::{EndpointState, Member};
+use crate::membership::reachability::DomainReachability;
 use crate::membership::{
-    Config, Effect, Effects, Probe, Standing, Subject, Update, message, ring, rumour,
+    Config, Effect, Effects, Probe, Status, Subject, Update, gossip, message, ring,
 };
 use crate::{entity, map, time, topology};
 
@@ -21,10 +21,10 @@
     own: Update,
     list_version: u64,
     members: map::EntityMap<entity::HostId, Member>,
-    marks: map::EntityMap<entity::EndpointId, Mark>,
-    domains: BTreeMap<entity::DomainId, Reach>,
+    endpoints: map::EntityMap<entity::EndpointId, EndpointState>,
+    domains: BTreeMap<entity::DomainId, DomainReachability>,
     ring: ring::Ring,
-    rumours: rumour::Rumours,
+    gossip: gossip::GossipQueue,
     next_probe: time::Time,
     /// Whether updates wait to be pushed.
     push_due: bool,
@@ -38,7 +38,7 @@
         let own = Update {
             subject: Subject::Host(me),
             incarnation: 0,
-            standing: Standing::Alive,
+            status: Status::Alive,
         };
         Self {
             cfg,
@@ -47,10 +47,10 @@
             own,
             list_version: 0,
             members: map::EntityMap::new(),
-            marks: map::EntityMap::new(),
+            endpoints: map::EntityMap::new(),
             domains: BTreeMap::new(),
             ring: ring::Ring::default(),
-            rumours: rumour::Rumours::default(),
+            gossip: gossip::GossipQueue::default(),
             next_probe: time::Time::ZERO,
             push_due: false,
             last_push: time::Time::ZERO,
@@ -58,16 +58,16 @@
     }
 
     /// Takes in the host list. An older version than the last is ignored.
-    pub fn host_list(&mut self, now: time::Time, list: &topology::HostList) -> Effects {
+    pub fn apply_host_list(&mut self, now: time::Time, list: &topology::HostList) -> Effects {
         let mut effects = Effects::new();
         if list.version <= self.list_version {
             return effects;
         }
         self.list_version = list.version;
-        self.take_hosts(list);
+        self.apply_hosts(list);
         self.members
             .retain(|id, _| list.hosts.iter().any(|host| host.id == id));
-        self.take_endpoints(list);
+        self.apply_endpoints(list);
         self.ring = ring::Ring::new(self.domain_hosts(list).chain([self.me]));
         let leaves = |host: &topology::Host| {
             host.id == self.me && host.presence == topology::Presence::Leaving
@@ -80,30 +80,30 @@
         for (host, member) in self.members.iter_mut() {
             member.usable = member.is_usable(now);
             if !member.usable {
-                effects.push(Effect::Host {
+                effects.push(Effect::HostChanged {
                     host,
                     usable: false,
                 });
             }
         }
-        let leaving = self.marks.iter().filter(|(_, mark)| mark.leaving);
-        effects.extend(leaving.map(|(endpoint, _)| Effect::Endpoint {
+        let leaving = self.endpoints.iter().filter(|(_, state)| state.leaving);
+        effects.extend(leaving.map(|(endpoint, _)| Effect::EndpointChanged {
             endpoint,
             leaving: true,
         }));
         effects
     }
 
-    fn take_endpoints(&mut self, list: &topology::HostList) {
-        self.marks
+    fn apply_endpoints(&mut self, list: &topology::HostList) {
+        self.endpoints
             .retain(|id, _| list.endpoints.iter().any(|endpoint| endpoint.id == id));
         for endpoint in &list.endpoints {
-            self.marks
-                .get_or_insert_with(endpoint.id, || Mark::new(endpoint.id));
+            self.endpoints
+                .get_or_insert_with(endpoint.id, || EndpointState::new(endpoint.id));
         }
     }
 
-    fn take_hosts(&mut self, list: &topology::HostList) {
+    fn apply_hosts(&mut self, list: &topology::HostList) {
         let others = list.hosts.iter().filter(|host| host.id != self.me);
         for host in others.clone() {
             let member = self
@@ -122,10 +122,10 @@
             if domain.id == self.domain {
                 continue;
             }
-            let mut reach = self.domains.remove(&domain.id).unwrap_or_default();
+            let mut reachability = self.domains.remove(&domain.id).unwrap_or_default();
             let hosts = others.clone().filter(|host| host.domain == domain.id);
-            reach.hosts = hosts.map(|host| host.id).collect();
-            domains.insert(domain.id, reach);
+            reachability.hosts = hosts.map(|host| host.id).collect();
+            domains.insert(domain.id, reachability);
         }
         self.domains = domains;
     }
@@ -144,13 +144,13 @@
     /// Does the timed work: probes, pushes, and suspicions that were not refuted.
     pub fn tick(&mut self, now: time::Time) -> Effects {
         let mut effects = Effects::new();
-        self.confirm_losses(now, &mut effects);
-        self.release(now, &mut effects);
+        self.expire_suspicions(now, &mut effects);
+        self.readmit(now, &mut effects);
         if now >= self.next_probe {
-            self.next_probe = now + self.cfg.period;
+            self.next_probe = now + self.cfg.probe_period;
             self.probe_all(&mut effects);
         }
-        if self.push_due && now.since(self.last_push) >= self.cfg.push_gap {
+        if self.push_due && now.since(self.last_push) >= self.cfg.min_push_interval {
             self.push_due = false;
             self.last_push = now;
             let fingers = self.ring.fingers(self.me);
@@ -160,43 +160,43 @@
     }
 
     fn probe_all(&mut self, effects: &mut Effects) {
-        let mut targets = self.ring.successors(self.me, self.cfg.neighbours);
+        let mut targets = self.ring.successors(self.me, self.cfg.probed_neighbours);
         // Hosts start at different places, so that they do not all probe the same one.
         let offset = self.me.as_u32() as usize;
         targets.extend(
             self.domains
                 .values_mut()
-                .filter_map(|reach| reach.next_host(offset)),
+                .filter_map(|reachability| reachability.next_host(offset)),
         );
         effects.extend(targets.into_iter().map(|to| self.send(to)));
     }
 
     fn send(&mut self, to: entity::HostId) -> Effect {
-        Effect::Send {
+        Effect::SendProbe {
             to,
-            probe: self.message(to),
+            probe: self.make_probe(to),
         }
     }
 
-    fn message(&mut self, to: entity::HostId) -> Probe {
+    fn make_probe(&mut self, to: entity::HostId) -> Probe {
         let receiver = self.members.get(to).map(|member| member.known);
         Probe {
             from: self.me,
-            receiver: receiver.filter(|known| known.standing != Standing::Alive),
-            updates: self.rumours.take(),
+            receiver: receiver.filter(|known| known.status != Status::Alive),
+            updates: self.gossip.take_batch(),
         }
     }
 
     /// Takes a probe and makes its answer.
-    pub fn probed(&mut self, now: time::Time, probe: &Probe) -> (Probe, Effects) {
-        let effects = self.heard(now, probe);
-        (self.message(probe.from), effects)
+    pub fn handle_probe(&mut self, now: time::Time, probe: &Probe) -> (Probe, Effects) {
+        let effects = self.apply_message(now, probe);
+        (self.make_probe(probe.from), effects)
     }
 
     /// Takes the answer to a probe.
-    pub fn answered(&mut self, now: time::Time, probe: &Probe) -> Effects {
-        let mut effects = self.heard(now, probe);
-        self.record(probe.from, true, &mut effects);
+    pub fn handle_answer(&mut self, now: time::Time, probe: &Probe) -> Effects {
+        let mut effects = self.apply_message(now, probe);
+        self.record_domain_probe(probe.from, true, &mut effects);
         if let Some(member) = self.members.get_mut(probe.from) {
             member.missed = 0;
         }
@@ -204,10 +204,15 @@
     }
 
     /// Records that a probe was not answered. `refused` tells that nothing listens there.
-    pub fn failed(&mut self, now: time::Time, to: entity::HostId, refused: bool) -> Effects {
+    pub fn handle_probe_failure(
+        &mut self,
+        now: time::Time,
+        to: entity::HostId,
+        refused: bool,
+    ) -> Effects {
         let mut effects = Effects::new();
-        self.record(to, false, &mut effects);
-        let limit = self.cfg.missed;
+        self.record_domain_probe(to, false, &mut effects);
+        let limit = self.cfg.max_missed_probes;
         let domain = self.domain;
         let Some(member) = self.members.get_mut(to) else {
             return effects;
@@ -219,49 +224,49 @@
         };
         // A host of another domain is judged by its own domain; the link to it may be cut.
         let is_neighbour = member.domain == domain;
-        if is_neighbour && member.missed >= limit && member.known.standing < Standing::Suspect {
+        if is_neighbour && member.missed >= limit && member.known.status < Status::Suspect {
             let suspicion = Update {
-                standing: Standing::Suspect,
+                status: Status::Suspect,
                 ..member.known
             };
-            self.learn(now, suspicion, &mut effects);
+            self.apply_update(now, suspicion, &mut effects);
         }
         effects
     }
 
     /// Starts to leave: this host takes no new work.
     pub fn leave(&mut self) -> Effects {
-        if self.own.standing != Standing::Leaving {
-            self.own.standing = Standing::Leaving;
+        if self.own.status != Status::Leaving {
+            self.own.status = Status::Leaving;
             self.own.incarnation += 1;
-            self.spread(self.own);
+            self.enqueue_update(self.own);
         }
         Effects::new()
     }
 
     /// Takes in whether an endpoint is leaving, as its owner saw it.
-    pub fn endpoint(
+    pub fn set_endpoint_leaving(
         &mut self,
         now: time::Time,
         endpoint: entity::EndpointId,
         leaving: bool,
     ) -> Effects {
         let mut effects = Effects::new();
-        let Some(known) = self.marks.get(endpoint).map(|mark| mark.known) else {
+        let Some(known) = self.endpoints.get(endpoint).map(|state| state.known) else {
             return effects;
         };
-        let standing = if leaving {
-            Standing::Leaving
+        let status = if leaving {
+            Status::Leaving
         } else {
-            Standing::Alive
+            Status::Alive
         };
-        if known.standing != standing {
+        if known.status != status {
             let incarnation = known.incarnation.saturating_add(1);
-            self.learn(
+            self.apply_update(
                 now,
                 Update {
                     incarnation,
-                    standing,
+                    status,
                     ..known
                 },
                 &mut effects,
@@ -274,7 +279,7 @@
     #[must_use]
     pub fn is_usable(&self, host: entity::HostId) -> bool {
         match host == self.me {
-            true => self.own.standing == Standing::Alive,
+            true => self.own.status == Status::Alive,
             false => self.members.get(host).is_some_and(|member| member.usable),
         }
     }
@@ -282,44 +287,52 @@
     /// Whether an endpoint is known to be leaving.
     #[must_use]
     pub fn is_leaving(&self, endpoint: entity::EndpointId) -> bool {
-        self.marks.get(endpoint).is_some_and(|mark| mark.leaving)
+        self.endpoints
+            .get(endpoint)
+            .is_some_and(|state| state.leaving)
     }
 
     /// Whether a failure domain can be reached from this host.
     #[must_use]
     pub fn is_reachable(&self, domain: entity::DomainId) -> bool {
-        domain == self.domain || self.domains.get(&domain).is_none_or(Reach::is_reachable)
+        domain == self.domain
+            || self
+                .domains
+                .get(&domain)
+                .is_none_or(DomainReachability::is_reachable)
     }
 
     /// Takes in what a message tells.
-    fn heard(&mut self, now: time::Time, probe: &Probe) -> Effects {
+    fn apply_message(&mut self, now: time::Time, probe: &Probe) -> Effects {
         let mut effects = Effects::new();
-        if let Some(told) = probe.receiver {
-            self.refute(told);
+        if let Some(claim) = probe.receiver {
+            self.refute(claim);
         }
         for &update in probe.updates.iter().take(message::MAX_UPDATES) {
-            self.learn(now, update, &mut effects);
+            self.apply_update(now, update, &mut effects);
         }
         effects
     }
 
     /// Supersedes what is told of this host, unless it is what the host tells itself.
-    fn refute(&mut self, told: Update) {
-        if told.subject == self.own.subject && told.supersedes(&self.own) {
-            self.own.incarnation = told.incarnation.saturating_add(1);
-            self.spread(self.own);
+    fn refute(&mut self, claim: Update) {
+        if claim.subject == self.own.subject && claim.supersedes(&self.own) {
+            self.own.incarnation = claim.incarnation.saturating_add(1);
+            self.enqueue_update(self.own);
         }
     }
 
-    fn learn(&mut self, now: time::Time, update: Update, effects: &mut Effects) {
+    fn apply_update(&mut self, now: time::Time, update: Update, effects: &mut Effects) {
         match update.subject {
             Subject::Host(host) if host == self.me => self.refute(update),
-            Subject::Host(host) => self.learn_host(now, host, update, effects),
-            Subject::Endpoint(endpoint) => self.learn_endpoint(now, endpoint, update, effects),
+            Subject::Host(host) => self.apply_host_update(now, host, update, effects),
+            Subject::Endpoint(endpoint) => {
+                self.apply_endpoint_update(now, endpoint, update, effects)
+            }
         }
     }
 
-    fn learn_host(
+    fn apply_host_update(
         &mut self,
         now: time::Time,
         host: entity::HostId,
@@ -333,12 +346,12 @@
         if !update.supersedes(&member.known) {
             return;
         }
-        member.take(update, now + self.cfg.suspicion);
-        member.settle(host, now, effects);
-        self.spread(update);
+        member.apply_update(update, now + self.cfg.suspicion_timeout);
+        member.refresh(host, now, effects);
+        self.enqueue_update(update);
     }
 
-    fn learn_endpoint(
+    fn apply_endpoint_update(
         &mut self,
         now: time::Time,
         endpoint: entity::EndpointId,
@@ -346,64 +359,64 @@
         effects: &mut Effects,
     ) {
         // An endpoint that the list does not show gets no work, so nothing is kept of it.
-        let Some(mark) = self.marks.get_mut(endpoint) else {
+        let Some(state) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        if !update.supersedes(&mark.known) {
+        if !update.supersedes(&state.known) {
             return;
         }
-        mark.known = update;
-        mark.settle(endpoint, now, effects);
-        self.spread(update);
+        state.known = update;
+        state.refresh(endpoint, now, effects);
+        self.enqueue_update(update);
     }
 
     /// Turns suspicions that were not refuted into losses.
-    fn confirm_losses(&mut self, now: time::Time, effects: &mut Effects) {
+    fn expire_suspicions(&mut self, now: time::Time, effects: &mut Effects) {
         let due = |member: &Member| member.suspected_until.is_some_and(|until| now >= until);
         let lost: SmallVec<[Update; 4]> = self
             .members
             .values()
             .filter(|member| due(member))
             .map(|member| Update {
-                standing: Standing::Down,
+                status: Status::Down,
                 ..member.known
             })
             .collect();
         for update in lost {
-            self.learn(now, update, effects);
+            self.apply_update(now, update, effects);
         }
     }
 
     /// Lets in what was held out and has been steady.
-    fn release(&mut self, now: time::Time, effects: &mut Effects) {
+    fn readmit(&mut self, now: time::Time, effects: &mut Effects) {
         for (host, member) in self.members.iter_mut().filter(|(_, member)| !member.usable) {
-            member.settle(host, now, effects);
+            member.refresh(host, now, effects);
         }
-        for (endpoint, mark) in self.marks.iter_mut().filter(|(_, mark)| mark.leaving) {
-            mark.settle(endpoint, now, effects);
+        for (endpoint, state) in self.endpoints.iter_mut().filter(|(_, state)| state.leaving) {
+            state.refresh(endpoint, now, effects);
         }
     }
 
     /// Records the end of a probe of a host of another domain.
-    fn record(&mut self, host: entity::HostId, answered: bool, effects: &mut Effects) {
+    fn record_domain_probe(&mut self, host: entity::HostId, answered: bool, effects: &mut Effects) {
         let Some(domain) = self.members.get(host).map(|member| member.domain) else {
             return;
         };
-        let Some(reach) = self.domains.get_mut(&domain) else {
+        let Some(reachability) = self.domains.get_mut(&domain) else {
             return;
         };
-        let was_reachable = reach.is_reachable();
-        let reachable = reach.record(answered);
+        let was_reachable = reachability.is_reachable();
+        let reachable = reachability.record_probe(answered);
         if reachable != was_reachable {
-            effects.push(Effect::Domain { domain, reachable });
+            effects.push(Effect::DomainChanged { domain, reachable });
         }
     }
 
-    fn spread(&mut self, update: Update) {
+    fn enqueue_update(&mut self, update: Update) {
         // Enough times to reach every host with probes alone, were each push lost.
         let rounds = usize::BITS - self.ring.len().leading_zeros();
-        let times = (rounds + 1) * self.cfg.neighbours as u32;
-        self.rumours.add(update, times);
+        let times = (rounds + 1) * self.cfg.probed_neighbours as u32;
+        self.gossip.add(update, times);
         self.push_due = true;
     }
 }
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -1,6 +1,6 @@
 //! What is known of one host or endpoint.
 
-use crate::membership::{Damping, Effect, Effects, Standing, Subject, Update};
+use crate::membership::{Effect, Effects, FlapDamping, Status, Subject, Update};
 use crate::{entity, time};
 
 /// What is known of a host.
@@ -14,7 +14,7 @@
     pub(super) missed: u32,
     /// When a suspicion becomes a loss, while the member is suspected.
     pub(super) suspected_until: Option<time::Time>,
-    damping: Damping,
+    damping: FlapDamping,
     /// Whether the member was last told to take new work.
     pub(super) usable: bool,
 }
@@ -28,24 +28,24 @@
             leaving: false,
             missed: 0,
             suspected_until: None,
-            damping: Damping::default(),
+            damping: FlapDamping::default(),
             usable: true,
         }
     }
 
     /// Takes an update that supersedes what is known. A suspicion is confirmed at `until`.
-    pub(super) fn take(&mut self, update: Update, until: time::Time) {
-        self.leaving = match update.standing {
-            Standing::Alive => false,
-            Standing::Leaving => true,
+    pub(super) fn apply_update(&mut self, update: Update, until: time::Time) {
+        self.leaving = match update.status {
+            Status::Alive => false,
+            Status::Leaving => true,
             // A suspicion of one who leaves says nothing of whether it still leaves.
-            Standing::Suspect | Standing::Down => {
+            Status::Suspect | Status::Down => {
                 self.leaving && update.incarnation == self.known.incarnation
             }
         };
         self.known = update;
-        self.suspected_until = Some(until).filter(|_| update.standing == Standing::Suspect);
-        if update.standing < Standing::Suspect {
+        self.suspected_until = Some(until).filter(|_| update.status == Status::Suspect);
+        if update.status < Status::Suspect {
             self.missed = 0;
         }
     }
@@ -54,59 +54,59 @@
     pub(super) fn is_usable(&mut self, now: time::Time) -> bool {
         // A suspected host keeps its work until the suspicion is confirmed, since it may be late
         // only.
-        let stands = matches!(self.known.standing, Standing::Alive | Standing::Suspect);
-        stands && !self.leaving && !self.damping.holds(now)
+        let stands = matches!(self.known.status, Status::Alive | Status::Suspect);
+        stands && !self.leaving && !self.damping.is_suppressed(now)
     }
 
     /// Tells whether the member takes new work, if that has changed.
-    pub(super) fn settle(&mut self, host: entity::HostId, now: time::Time, effects: &mut Effects) {
+    pub(super) fn refresh(&mut self, host: entity::HostId, now: time::Time, effects: &mut Effects) {
         let usable = self.is_usable(now);
         if usable == self.usable {
             return;
         }
         self.usable = usable;
         if !usable {
-            self.damping.lost(now);
+            self.damping.record_flap(now);
         }
-        effects.push(Effect::Host { host, usable });
+        effects.push(Effect::HostChanged { host, usable });
     }
 }
 
 /// What is known of an endpoint.
 #[derive(Clone, Debug)]
-pub(super) struct Mark {
+pub(super) struct EndpointState {
     pub(super) known: Update,
-    damping: Damping,
+    damping: FlapDamping,
     /// Whether the endpoint was last told to be leaving.
     pub(super) leaving: bool,
 }
 
-impl Mark {
+impl EndpointState {
     /// Makes an endpoint of which nothing was told yet.
     pub(super) fn new(endpoint: entity::EndpointId) -> Self {
         Self {
             known: first(Subject::Endpoint(endpoint)),
-            damping: Damping::default(),
+            damping: FlapDamping::default(),
             leaving: false,
         }
     }
 
     /// Tells whether the endpoint is leaving, if that has changed.
-    pub(super) fn settle(
+    pub(super) fn refresh(
         &mut self,
         endpoint: entity::EndpointId,
         now: time::Time,
         effects: &mut Effects,
     ) {
-        let leaving = self.known.standing != Standing::Alive || self.damping.holds(now);
+        let leaving = self.known.status != Status::Alive || self.damping.is_suppressed(now);
         if leaving == self.leaving {
             return;
         }
         self.leaving = leaving;
         if leaving {
-            self.damping.lost(now);
+            self.damping.record_flap(now);
         }
-        effects.push(Effect::Endpoint { endpoint, leaving });
+        effects.push(Effect::EndpointChanged { endpoint, leaving });
     }
 }
 
@@ -115,6 +115,6 @@
     Update {
         subject,
         incarnation: 0,
-        standing: Standing::Alive,
+        status: Status::Alive,
     }
 }
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -24,7 +24,7 @@
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum Status {
     /// It takes new work.
     Alive,
     /// It finishes what it has and takes no new work.
@@ -45,14 +45,15 @@
     /// Number that the subject raises to supersede what is told of it.
     pub incarnation: u32,
     /// How the subject stands.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub status: Status,
 }
 
 impl Update {
     /// Whether this update supersedes what is known.
     #[must_use]
     pub fn supersedes(&self, known: &Self) -> bool {
-        (self.incarnation, self.standing) > (known.incarnation, known.standing)
+        (self.incarnation, self.status) > (known.incarnation, known.status)
     }
 }
 
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -16,18 +16,18 @@
 //! refuses work before running it, and a second owner starts from the endpoint's own load.
 
 mod damping;
-pub mod digest;
 mod effect;
+mod gossip;
+pub mod load_reports;
 mod machine;
 mod member;
 mod message;
-mod reach;
+pub mod overlay;
+mod reachability;
 mod ring;
 pub mod roster;
-mod rumour;
-pub mod spread;
 
-pub use damping::Damping;
+pub use damping::FlapDamping;
 pub use effect::{Config, Effect, Effects};
 pub use machine::Membership;
-pub use message::{Probe, Standing, Subject, Update};
+pub use message::{Probe, Status, Subject, Update};
--- a/crates/core/src/membership/spread.rs
+++ b/crates/core/src/membership/overlay.rs
@@ -11,10 +11,10 @@
 use smallvec::SmallVec;
 
 /// Most other hosts up to which all hosts talk to each other.
-pub const FULL_MESH: usize = 12;
+pub const FULL_MESH_MAX_PEERS: usize = 12;
 
 /// Relays of a domain. The second one serves while the first one is lost.
-pub const RELAYS: usize = 2;
+pub const RELAYS_PER_DOMAIN: usize = 2;
 
 /// What a host does for the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -30,57 +30,57 @@
 
 /// A host, as far as its place is concerned.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct OverlayHost {
     /// Name of the host.
     pub name: Arc<str>,
     /// Its failure domain.
     pub domain: Arc<str>,
     /// Whether it serves, as far as is known.
-    pub serves: bool,
+    pub is_live: bool,
 }
 
 /// The place of one host among the others.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Spread {
+pub struct Overlay {
     /// What the host does.
     pub role: Role,
     /// Hosts that it talks to.
     pub links: Vec<Arc<str>>,
     /// Relays of its domain in order of preference; none in a small fleet.
-    pub relays: SmallVec<[Arc<str>; RELAYS]>,
+    pub relays: SmallVec<[Arc<str>; RELAYS_PER_DOMAIN]>,
     /// Relays of the other domains, by domain and in order of preference.
-    pub foreign: BTreeMap<Arc<str>, SmallVec<[Arc<str>; RELAYS]>>,
+    pub foreign_relays: BTreeMap<Arc<str>, SmallVec<[Arc<str>; RELAYS_PER_DOMAIN]>>,
 }
 
-impl Spread {
+impl Overlay {
     /// Works out the place of a host. `hosts` may or may not hold it.
     #[must_use]
-    pub fn new(me: &str, domain: &str, hosts: &[Place]) -> Self {
+    pub fn new(me: &str, domain: &str, hosts: &[OverlayHost]) -> Self {
         let others = || hosts.iter().filter(|host| *host.name != *me);
-        if others().count() <= FULL_MESH {
+        if others().count() <= FULL_MESH_MAX_PEERS {
             return Self {
                 links: others().map(|host| host.name.clone()).collect(),
                 ..Self::default()
             };
         }
-        let mut foreign = relays_by_domain(hosts);
-        let relays = foreign.remove(domain).unwrap_or_default();
+        let mut foreign_relays = relays_by_domain(hosts);
+        let relays = foreign_relays.remove(domain).unwrap_or_default();
         if !relays.iter().any(|relay| **relay == *me) {
             return Self {
                 role: Role::Member,
                 links: relays.to_vec(),
                 relays,
-                foreign: BTreeMap::new(),
+                foreign_relays: BTreeMap::new(),
             };
         }
         let own = others().filter(|host| *host.domain == *domain);
         let mut links: Vec<_> = own.map(|host| host.name.clone()).collect();
-        links.extend(foreign.values().flatten().cloned());
+        links.extend(foreign_relays.values().flatten().cloned());
         Self {
             role: Role::Relay,
             links,
             relays,
-            foreign,
+            foreign_relays,
         }
     }
 
@@ -93,7 +93,7 @@
     /// Whether a host is a relay of another domain.
     #[must_use]
     pub fn is_foreign_relay(&self, name: &str) -> bool {
-        self.foreign
+        self.foreign_relays
             .values()
             .flatten()
             .any(|relay| **relay == *name)
@@ -101,13 +101,15 @@
 }
 
 /// First hosts of each domain that serve, by their names.
-fn relays_by_domain(hosts: &[Place]) -> BTreeMap<Arc<str>, SmallVec<[Arc<str>; RELAYS]>> {
-    let mut sorted: Vec<_> = hosts.iter().filter(|host| host.serves).collect();
+fn relays_by_domain(
+    hosts: &[OverlayHost],
+) -> BTreeMap<Arc<str>, SmallVec<[Arc<str>; RELAYS_PER_DOMAIN]>> {
+    let mut sorted: Vec<_> = hosts.iter().filter(|host| host.is_live).collect();
     sorted.sort_by(|a, b| a.name.cmp(&b.name));
-    let mut relays: BTreeMap<Arc<str>, SmallVec<[Arc<str>; RELAYS]>> = BTreeMap::new();
+    let mut relays: BTreeMap<Arc<str>, SmallVec<[Arc<str>; RELAYS_PER_DOMAIN]>> = BTreeMap::new();
     for host in sorted {
         let of_domain = relays.entry(host.domain.clone()).or_default();
-        if of_domain.len() < RELAYS {
+        if of_domain.len() < RELAYS_PER_DOMAIN {
             of_domain.push(host.name.clone());
         }
     }
--- a/crates/core/src/membership/reach.rs
+++ b/crates/core/src/membership/reachability.rs
@@ -7,7 +7,7 @@
 
 /// Reachability of one other domain.
 #[derive(Clone, Debug, Default)]
-pub struct Reach {
+pub struct DomainReachability {
     /// Hosts of the domain, which are probed in turn.
     pub hosts: Vec<entity::HostId>,
     /// Place of the next host to probe.
@@ -16,7 +16,7 @@
     failures: u32,
 }
 
-impl Reach {
+impl DomainReachability {
     /// The host to probe next, or `None` if the domain has none.
     pub fn next_host(&mut self, offset: usize) -> Option<entity::HostId> {
         let host = *self
@@ -27,7 +27,7 @@
     }
 
     /// Records the end of a probe, and returns whether the domain can be reached.
-    pub fn record(&mut self, answered: bool) -> bool {
+    pub fn record_probe(&mut self, answered: bool) -> bool {
         self.failures = if answered {
             0
         } else {
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pistachiochute_core::membership::{
-    Config, Effect, Effects, Membership, Probe, Standing, Subject, Update,
+    Config, Effect, Effects, Membership, Probe, Status, Subject, Update,
 };
 use pistachiochute_core::{entity, entity::Entity as _, time, topology};
 use proptest::prelude::*;
@@ -78,7 +78,7 @@
             .map(|i| {
                 let mut view =
                     Membership::new(Config::default(), host(i), domain(i / DOMAIN_HOSTS));
-                view.host_list(now, &list);
+                view.apply_host_list(now, &list);
                 view
             })
             .collect::<Vec<_>>();
@@ -105,11 +105,11 @@
         let mut sends = Vec::new();
         for effect in effects {
             match effect {
-                Effect::Send { to, probe } => sends.push((to, probe)),
-                Effect::Host { host, usable } => {
+                Effect::SendProbe { to, probe } => sends.push((to, probe)),
+                Effect::HostChanged { host, usable } => {
                     self.usable.insert((at, host), usable);
                 }
-                Effect::Endpoint { .. } | Effect::Domain { .. } => {}
+                Effect::EndpointChanged { .. } | Effect::DomainChanged { .. } => {}
             }
         }
         sends
@@ -131,15 +131,15 @@
     fn exchange(&mut self, from: usize, to: entity::HostId, probe: Probe) {
         let j = to.index();
         if !self.passes(from, j) {
-            let effects = self.views[from].failed(self.now, to, false);
+            let effects = self.views[from].handle_probe_failure(self.now, to, false);
             self.note(from, effects);
             return;
         }
-        let (answer, effects) = self.views[j].probed(self.now, &probe);
+        let (answer, effects) = self.views[j].handle_probe(self.now, &probe);
         self.note(j, effects);
         let effects = match self.passes(j, from) {
-            true => self.views[from].answered(self.now, &answer),
-            false => self.views[from].failed(self.now, to, false),
+            true => self.views[from].handle_answer(self.now, &answer),
+            false => self.views[from].handle_probe_failure(self.now, to, false),
         };
         self.note(from, effects);
     }
@@ -165,7 +165,8 @@
         let mut mesh = Mesh::new(1, seed, 0.1);
         mesh.run(Duration::from_secs(3));
         mesh.views[3].leave();
-        let effects = mesh.views[5].endpoint(mesh.now, entity::EndpointId::from_index(2), true);
+        let effects =
+            mesh.views[5].set_endpoint_leaving(mesh.now, entity::EndpointId::from_index(2), true);
         mesh.note(5, effects);
         mesh.run(Duration::from_secs(3));
         assert_eq!(mesh.seen_usable(3), 0, "seed {seed}");
@@ -186,7 +187,7 @@
     assert_eq!(mesh.seen_usable(4), 0);
     let list = list(1, 1);
     mesh.views[4] = Membership::new(Config::default(), host(4), domain(0));
-    mesh.views[4].host_list(mesh.now, &list);
+    mesh.views[4].apply_host_list(mesh.now, &list);
     mesh.silent[4] = false;
     mesh.run(Duration::from_secs(4));
     assert_eq!(mesh.seen_usable(4), DOMAIN_HOSTS - 1);
@@ -241,12 +242,12 @@
 fn a_flapping_endpoint_is_held_out_until_it_is_steady() {
     let mut view = Membership::new(Config::default(), host(0), domain(0));
     let mut now = time::Time::from_secs(1);
-    view.host_list(now, &list(1, 1));
+    view.apply_host_list(now, &list(1, 1));
     let endpoint = entity::EndpointId::from_index(1);
     for _ in 0..3 {
-        view.endpoint(now, endpoint, true);
+        view.set_endpoint_leaving(now, endpoint, true);
         now += Duration::from_millis(500);
-        view.endpoint(now, endpoint, false);
+        view.set_endpoint_leaving(now, endpoint, false);
         now += Duration::from_millis(500);
     }
     view.tick(now);
@@ -260,32 +261,32 @@
 fn a_suspicion_does_not_hide_that_a_host_leaves() {
     let mut view = Membership::new(Config::default(), host(0), domain(0));
     let now = time::Time::from_secs(1);
-    view.host_list(now, &list(1, 1));
-    let told = |incarnation, standing| Probe {
+    view.apply_host_list(now, &list(1, 1));
+    let told = |incarnation, status| Probe {
         from: host(2),
         receiver: None,
         updates: [Update {
             subject: Subject::Host(host(1)),
             incarnation,
-            standing,
+            status,
         }]
         .into_iter()
         .collect(),
     };
-    view.probed(now, &told(1, Standing::Leaving));
-    view.probed(now, &told(1, Standing::Suspect));
+    view.handle_probe(now, &told(1, Status::Leaving));
+    view.handle_probe(now, &told(1, Status::Suspect));
     assert!(!view.is_usable(host(1)));
-    view.probed(now, &told(2, Standing::Alive));
+    view.handle_probe(now, &told(2, Status::Alive));
     view.tick(now + Duration::from_secs(30));
     assert!(view.is_usable(host(1)));
 }
 
-fn standings() -> impl Strategy<Value = Standing> {
+fn statuses() -> impl Strategy<Value = Status> {
     prop_oneof![
-        Just(Standing::Alive),
-        Just(Standing::Leaving),
-        Just(Standing::Suspect),
-        Just(Standing::Down),
+        Just(Status::Alive),
+        Just(Status::Leaving),
+        Just(Status::Suspect),
+        Just(Status::Down),
     ]
 }
 
@@ -294,10 +295,10 @@
         (1_usize..DOMAIN_HOSTS).prop_map(|i| Subject::Host(host(i))),
         (0_usize..4).prop_map(|i| Subject::Endpoint(entity::EndpointId::from_index(i))),
     ];
-    (subject, 0_u32..4, standings()).prop_map(|(subject, incarnation, standing)| Update {
+    (subject, 0_u32..4, statuses()).prop_map(|(subject, incarnation, status)| Update {
         subject,
         incarnation,
-        standing,
+        status,
     })
 }
 
@@ -323,10 +324,10 @@
         let hear = |updates: &[Update]| {
             let mut view = Membership::new(Config::default(), host(0), domain(0));
             let now = time::Time::from_secs(1);
-            view.host_list(now, &list(1, 1));
+            view.apply_host_list(now, &list(1, 1));
             for update in updates {
                 let updates = [*update].into_iter().collect();
-                view.probed(now, &Probe { from: host(1), receiver: None, updates });
+                view.handle_probe(now, &Probe { from: host(1), receiver: None, updates });
             }
             // Long enough for suspicions to be confirmed and for what was held out to be let in.
             view.tick(now + Duration::from_secs(5));
--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -20,7 +20,7 @@
     roster.remove("b", now);
     roster.tick(now + Duration::from_secs(30));
     assert_eq!(roster.hosts().count(), 2);
-    roster.tick(now + roster::UNLISTED_KEPT + Duration::from_secs(1));
+    roster.tick(now + roster::UNLISTED_RETENTION + Duration::from_secs(1));
     assert_eq!(roster.hosts().count(), 1);
 }
 
@@ -31,12 +31,12 @@
     roster.put(name("a"), 1);
     roster.put(name("b"), 2);
     roster.retain_listed(&BTreeSet::from([name("a")]), now);
-    assert_eq!(roster.serving(now), 1);
-    roster.hear("b", now);
-    assert_eq!(roster.serving(now), 2);
-    assert!(roster.serves("b", now));
-    let later = now + roster::UNLISTED_SILENCE + Duration::from_secs(1);
-    assert_eq!(roster.serving(later), 1);
+    assert_eq!(roster.live_count(now), 1);
+    roster.record_contact("b", now);
+    assert_eq!(roster.live_count(now), 2);
+    assert!(roster.is_live("b", now));
+    let later = now + roster::UNLISTED_LIVENESS_TIMEOUT + Duration::from_secs(1);
+    assert_eq!(roster.live_count(later), 1);
 }
 
 /// An incident of Bocage: hosts that were started again while the store was down knew nobody, and
@@ -45,12 +45,12 @@
 fn a_host_that_speaks_is_known_without_an_entry() {
     let mut roster = roster::Roster::default();
     let now = time::Time::from_secs(10);
-    assert!(roster.meet(name("a"), 1, now));
-    assert!(!roster.meet(name("a"), 1, now));
+    assert!(roster.discover(name("a"), 1, now));
+    assert!(!roster.discover(name("a"), 1, now));
     assert_eq!(roster.hosts().count(), 1);
-    assert!(roster.serves("a", now));
+    assert!(roster.is_live("a", now));
     assert!(roster.put(name("a"), 1));
-    roster.tick(now + roster::UNLISTED_KEPT + Duration::from_secs(1));
+    roster.tick(now + roster::UNLISTED_RETENTION + Duration::from_secs(1));
     assert_eq!(roster.hosts().count(), 1);
 }
 
--- a/crates/gateway/src/control/links/due.rs
+++ b/crates/gateway/src/control/links/due.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pistachiochute_core::choice::load;
-use pistachiochute_core::membership::spread::Role;
+use pistachiochute_core::membership::overlay::Role;
 use pistachiochute_core::time;
 use pistachiochute_messages::peer;
 use pistachiochute_runtime::clock;
@@ -77,10 +77,10 @@
         }
         let own = cx.shared.own_loads();
         let carried = match spread.is_foreign_relay(name) {
-            true => state.digests.domain(spread, &own),
+            true => state.digests.domain_total(spread, &own),
             false => {
                 let others = cx.shared.other_loads();
-                state.digests.all_but(name, &others, &own)
+                state.digests.total_except(name, &others, &own)
             }
         };
         if carried == self.carried {
--- a/crates/gateway/src/control/links/holdings.rs
+++ b/crates/gateway/src/control/links/holdings.rs
@@ -1,6 +1,6 @@
 //! What engines hold in their caches, as hosts tell each other.
 
-use pistachiochute_core::membership::spread::Role;
+use pistachiochute_core::membership::overlay::Role;
 use pistachiochute_messages::peer;
 use pistachiochute_runtime::clock;
 
--- a/crates/gateway/src/control/links/receive.rs
+++ b/crates/gateway/src/control/links/receive.rs
@@ -95,7 +95,11 @@
     cx.oldest_peer.set(cx.oldest_peer.get().max(up));
     let links = entry.links;
     let now = clock::now();
-    let is_news = cx.state.borrow_mut().hosts.meet(host.clone(), entry, now);
+    let is_news = cx
+        .state
+        .borrow_mut()
+        .hosts
+        .discover(host.clone(), entry, now);
     if is_news {
         cx.events.host_known(host, links);
     }
@@ -118,7 +122,7 @@
             let mut state = cx.state.borrow_mut();
             state.hear(sender, known, store, now);
             if let Some(loads) = loads {
-                state.digests.own(sender, loads);
+                state.digests.set_own_load(sender, loads);
             }
             state.directory.hear(directory::Witness {
                 steady_since: before(store.steady_ms),
@@ -129,7 +133,10 @@
             }
         }
         peer::Message::Carried(loads) => {
-            cx.state.borrow_mut().digests.carried(sender, loads);
+            cx.state
+                .borrow_mut()
+                .digests
+                .set_relayed_load(sender, loads);
         }
         peer::Message::Holdings(holdings) => {
             take_holdings(cx, &holdings);
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -186,7 +186,7 @@
         self.metrics.believes(&metrics::Beliefs {
             catalog_version: state.catalog.version().map_or(0, |version| version.0),
             endpoints: state.directory.usable().count() as u64,
-            hosts_serving: state.hosts.serving(now) as u64,
+            hosts_serving: state.hosts.live_count(now) as u64,
             hosts_heard: state.heard(now) as u64,
             store_answers: self.store_answers.get(),
         });
@@ -216,7 +216,7 @@
         let mut state = self.state.borrow_mut();
         state.place(now);
         state.digests.tick(now);
-        let others = state.digests.others(&state.spread);
+        let others = state.digests.total_of_others(&state.spread);
         drop(state);
         self.shared.publish_other_loads(others);
         self.show_beliefs(now);
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pistachiochute_core::choice::prefix;
-use pistachiochute_core::membership::{digest, roster, spread};
+use pistachiochute_core::membership::{load_reports, overlay, roster};
 use pistachiochute_core::{catalog, directory, time};
 use pistachiochute_messages::peer;
 use tokio::sync::mpsc;
@@ -61,9 +61,9 @@
     /// Parts of prompts that endpoints hold, and when they last read them.
     holdings: HashMap<peer::CachedPart, time::Time>,
     /// What other hosts told of their work.
-    pub digests: digest::Digests,
+    pub digests: load_reports::LoadReports,
     /// Place of this host among the others.
-    pub spread: spread::Spread,
+    pub spread: overlay::Overlay,
     domain: String,
     /// Serial of the last published view.
     serial: u64,
@@ -81,8 +81,8 @@
             peers: HashMap::new(),
             outboxes: HashMap::new(),
             holdings: HashMap::new(),
-            digests: digest::Digests::default(),
-            spread: spread::Spread::default(),
+            digests: load_reports::LoadReports::default(),
+            spread: overlay::Overlay::default(),
             domain,
             serial: 0,
         }
@@ -96,7 +96,7 @@
             catalog: self.catalog.get().cloned(),
             endpoints: self.directory.usable().cloned().collect(),
             leaving: self.directory.leaving().cloned().collect(),
-            hosts: (self.hosts.serving(now) as u32).max(1),
+            hosts: (self.hosts.live_count(now) as u32).max(1),
         }
     }
 
@@ -134,8 +134,8 @@
             heard: now,
         };
         self.peers.insert(host.clone(), peer);
-        self.hosts.hear(host, now);
-        self.digests.hear(host, now);
+        self.hosts.record_contact(host, now);
+        self.digests.record_contact(host, now);
     }
 
     /// Other hosts that spoke lately.
@@ -150,13 +150,13 @@
         let places: Vec<_> = self
             .hosts
             .hosts()
-            .map(|(name, entry)| spread::Place {
+            .map(|(name, entry)| overlay::OverlayHost {
                 name: name.clone(),
                 domain: entry.domain.as_str().into(),
-                serves: self.hosts.serves(name, now),
+                is_live: self.hosts.is_live(name, now),
             })
             .collect();
-        self.spread = spread::Spread::new(&self.me, &self.domain, &places);
+        self.spread = overlay::Overlay::new(&self.me, &self.domain, &places);
     }
 
     /// Whether a relay brings the news of the store, so that this host need not follow it.
@@ -167,7 +167,7 @@
             now.since(peer.heard) < FEED_SILENCE && answered < FEED_STORE_SILENCE
         };
         let relays = self.spread.relays.iter();
-        self.spread.role == spread::Role::Member
+        self.spread.role == overlay::Role::Member
             && relays.filter_map(|name| self.peers.get(name)).any(follows)
     }
 
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -7,7 +7,7 @@
 use arc_swap::ArcSwap;
 use crossbeam::queue::SegQueue;
 use pistachiochute_core::choice::load;
-use pistachiochute_core::membership::digest;
+use pistachiochute_core::membership::load_reports;
 use pistachiochute_core::{catalog, directory, time};
 use pistachiochute_messages::peer;
 use tokio::sync::watch;
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub struct Shared {
     view: ArcSwap<View>,
-    other_loads: ArcSwap<digest::Works>,
+    other_loads: ArcSwap<load_reports::WorkByEndpoint>,
     own_loads: ArcSwap<Vec<load::EndpointLoad>>,
     /// Parts of prompts that endpoints read for this host, for the others.
     pub own_holdings: SegQueue<peer::CachedPart>,
@@ -91,12 +91,12 @@
 
     /// Work of the other hosts.
     #[must_use]
-    pub fn other_loads(&self) -> arc_swap::Guard<Arc<digest::Works>> {
+    pub fn other_loads(&self) -> arc_swap::Guard<Arc<load_reports::WorkByEndpoint>> {
         self.other_loads.load()
     }
 
     /// Publishes the work of the other hosts.
-    pub fn publish_other_loads(&self, loads: digest::Works) {
+    pub fn publish_other_loads(&self, loads: load_reports::WorkByEndpoint) {
         self.other_loads.store(Arc::new(loads));
     }
 
--- a/crates/gateway/src/traffic/fleet.rs
+++ b/crates/gateway/src/traffic/fleet.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use pistachiochute_core::choice::{cost, homes, load, prefix, prompt};
-use pistachiochute_core::membership::digest;
+use pistachiochute_core::membership::load_reports;
 use pistachiochute_core::{choice, directory, entity, health, map, retry, time};
 use pistachiochute_messages::peer;
 
@@ -126,7 +126,7 @@
         &self,
         service: &str,
         need: &choice::Need,
-        others: &digest::Works,
+        others: &load_reports::WorkByEndpoint,
         tried: &[entity::EndpointId],
         now: time::Time,
     ) -> Option<Chosen> {
@@ -220,7 +220,7 @@
     fn candidate(
         &self,
         id: entity::EndpointId,
-        others: &digest::Works,
+        others: &load_reports::WorkByEndpoint,
         now: time::Time,
     ) -> Option<choice::Candidate> {
         let known = self.known.get(id)?;
--- a/crates/gateway/src/traffic/fleet/tests.rs
+++ b/crates/gateway/src/traffic/fleet/tests.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use pistachiochute_core::choice::{self, prompt};
-use pistachiochute_core::membership::digest;
+use pistachiochute_core::membership::load_reports;
 use pistachiochute_core::{directory, retry, time};
 
 use super::Fleet;
@@ -34,7 +34,7 @@
     };
     let mut fleet = Fleet::new("dom-a".to_owned(), budget, NOW);
     fleet.follow(view);
-    let others = digest::Works::new();
+    let others = load_reports::WorkByEndpoint::new();
     (0..200_u64)
         .filter_map(|seed| {
             let id = seed.to_le_bytes();
--- a/crates/measure/src/membership/mesh.rs
+++ b/crates/measure/src/membership/mesh.rs
@@ -77,7 +77,7 @@
         let list = host_list(fleet);
         let view = |host: &topology::Host| {
             let mut view = membership::Membership::new(cfg, host.id, host.domain);
-            view.host_list(now, &list);
+            view.apply_host_list(now, &list);
             view
         };
         let views: Vec<_> = list.hosts.iter().map(view).collect();
@@ -112,7 +112,7 @@
     }
 
     pub fn endpoint_leaves(&mut self, host: usize, endpoint: entity::EndpointId) {
-        self.views[host].endpoint(self.now, endpoint, true);
+        self.views[host].set_endpoint_leaving(self.now, endpoint, true);
     }
 
     pub fn all_know_leaving(&self, endpoint: entity::EndpointId) -> bool {
@@ -142,11 +142,11 @@
         for flight in due.into_values().flatten() {
             let (i, probe) = (flight.to, flight.probe);
             if flight.is_answer {
-                let effects = self.views[i].answered(self.now, &probe);
+                let effects = self.views[i].handle_answer(self.now, &probe);
                 self.follow(i, effects)?;
                 continue;
             }
-            let (answer, effects) = self.views[i].probed(self.now, &probe);
+            let (answer, effects) = self.views[i].handle_probe(self.now, &probe);
             self.follow(i, effects)?;
             self.send(i, flight.from, answer, true)?;
         }
@@ -160,7 +160,7 @@
         let due = std::mem::replace(&mut self.failures, later);
         for (from, to) in due.into_values().flatten() {
             let to = entity::HostId::from_index(to);
-            let effects = self.views[from].failed(self.now, to, false);
+            let effects = self.views[from].handle_probe_failure(self.now, to, false);
             self.follow(from, effects)?;
         }
         Ok(())
@@ -168,7 +168,7 @@
 
     fn follow(&mut self, at: usize, effects: membership::Effects) -> eyre::Result<()> {
         for effect in effects {
-            if let membership::Effect::Send { to, probe } = effect {
+            if let membership::Effect::SendProbe { to, probe } = effect {
                 self.send(at, to.index(), probe, false)?;
             }
         }
--- a/crates/measure/src/membership/mod.rs
+++ b/crates/measure/src/membership/mod.rs
@@ -122,7 +122,7 @@
 fn leaving() -> eyre::Result<figure::Reading> {
     let pushed = membership::Config::default();
     let periodic = membership::Config {
-        push_gap: FOLLOWED,
+        min_push_interval: FOLLOWED,
         ..pushed
     };
     Ok(figure::Reading {
--- a/crates/measure/src/slopes/roles.rs
+++ b/crates/measure/src/slopes/roles.rs
@@ -329,7 +329,7 @@
             let host = &list.hosts[i];
             let mut view =
                 membership::Membership::new(membership::Config::default(), host.id, host.domain);
-            view.host_list(now, &list);
+            view.apply_host_list(now, &list);
             view
         };
         let (mut a, mut b) = (view(0), view(4));
@@ -341,8 +341,8 @@
                 receiver: None,
                 updates: smallvec::SmallVec::new(),
             };
-            let (answer, _) = b.probed(now, &probe);
-            black_box(a.answered(now, &answer));
+            let (answer, _) = b.handle_probe(now, &probe);
+            black_box(a.handle_answer(now, &answer));
         })
     };
     Slope {
--- a/crates/runtime/src/control/peers.rs
+++ b/crates/runtime/src/control/peers.rs
@@ -18,7 +18,7 @@
     ) {
         let answer = match message {
             control::Message::Probe(probe) => {
-                let (answer, effects) = self.membership.probed(now, &probe);
+                let (answer, effects) = self.membership.handle_probe(now, &probe);
                 self.follow(now, effects);
                 control::Message::Probe(answer)
             }
@@ -45,9 +45,9 @@
         let effects = match answer {
             // An answer in the name of another host comes from a reused address.
             Ok(control::Message::Probe(probe)) if probe.from != from => {
-                self.membership.failed(now, from, false)
+                self.membership.handle_probe_failure(now, from, false)
             }
-            Ok(control::Message::Probe(probe)) => self.membership.answered(now, &probe),
+            Ok(control::Message::Probe(probe)) => self.membership.handle_answer(now, &probe),
             Ok(control::Message::Loads(report)) if report.from == from => {
                 self.take_report(now, &report);
                 return;
@@ -59,7 +59,7 @@
             ) => return,
             Err(e) => {
                 let refused = e == link::CallError::Connect;
-                self.membership.failed(now, from, refused)
+                self.membership.handle_probe_failure(now, from, refused)
             }
         };
         self.follow(now, effects);
@@ -91,10 +91,10 @@
         let mut changed = false;
         for effect in effects {
             match effect {
-                membership::Effect::Send { to, probe } => {
+                membership::Effect::SendProbe { to, probe } => {
                     self.send(to, &control::Message::Probe(probe));
                 }
-                membership::Effect::Host { host, usable } => {
+                membership::Effect::HostChanged { host, usable } => {
                     slog::info!(self.log, "host"; "peer" => %host, "usable" => usable);
                     self.refresh_host(host);
                     if !usable {
@@ -102,13 +102,13 @@
                     }
                     changed = true;
                 }
-                membership::Effect::Endpoint { endpoint, leaving } => {
+                membership::Effect::EndpointChanged { endpoint, leaving } => {
                     slog::info!(self.log, "endpoint";
                         "endpoint" => %endpoint, "leaving" => leaving);
                     self.directory.set_endpoint_leaving(endpoint, leaving);
                     changed = true;
                 }
-                membership::Effect::Domain { domain, reachable } => {
+                membership::Effect::DomainChanged { domain, reachable } => {
                     slog::warn!(self.log, "failure domain";
                         "domain" => %domain, "reachable" => reachable);
                     self.refresh_domain(domain);
--- a/crates/runtime/src/control/state.rs
+++ b/crates/runtime/src/control/state.rs
@@ -234,7 +234,7 @@
         slog::info!(self.log, "host list"; "version" => list.version,
             "hosts" => list.hosts.len(), "endpoints" => list.endpoints.len());
         self.catalog = Some(lists::verify::Catalog::of(list));
-        let effects = self.membership.host_list(now, list);
+        let effects = self.membership.apply_host_list(now, list);
         self.follow(now, effects);
         self.refresh_replica(now);
         self.assign(now);
