--- a/crates/core/src/lists/edit.rs
+++ b/crates/core/src/lists/edit.rs
@@ -7,7 +7,7 @@
 //! or the head is unchanged and the same transaction is sent again. At most one of them can take
 //! effect, since each compares the head.
 
-use crate::lists::storage::{Author, EditId, Record, Stored};
+use crate::lists::storage::{Author, EditId, Record, StoredLists};
 use crate::lists::{Change, Delta, Finding, Version, storage, verify};
 use crate::revision;
 
@@ -100,22 +100,22 @@
     ReadBack,
     /// Write in one transaction if the head still has the guard, and pass the answer to
     /// [`Edit::committed`].
-    Commit(Guard, Record),
+    Commit(CasVersion, Record),
     /// The edit has ended.
     Done(Outcome),
 }
 
 /// Number by which the store tells writes of the head apart; zero if there is no head.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Guard(pub u64);
+pub struct CasVersion(pub u64);
 
-/// Answer to a commit.
+/// Result of a commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum CommitResult {
     /// The transaction took effect.
-    Taken,
+    Committed,
     /// The head had moved: the transaction had no effect.
-    Moved,
+    HeadChanged,
     /// The transaction was not carried out and will not be.
     NotSent,
     /// The transaction may have taken effect or may yet.
@@ -133,9 +133,9 @@
     allowed: F,
     served: Option<verify::ServedTargets>,
     /// Largest version that the host knows of.
-    highest: Version,
+    highest_version: Version,
     /// Transaction whose answer is outstanding or lost.
-    sent: Option<(Guard, Record)>,
+    sent: Option<(CasVersion, Record)>,
     rounds: u32,
     read_backs: u32,
 }
@@ -159,7 +159,7 @@
             proposals,
             allowed,
             served: None,
-            highest: Version::NONE,
+            highest_version: Version::NONE,
             sent: None,
             rounds: 0,
             read_backs: 0,
@@ -177,16 +177,19 @@
 
     /// Sets the largest version that the host knows of. A store that is behind takes no edits.
     #[must_use]
-    pub fn with_highest(self, highest: Version) -> Self {
-        Self { highest, ..self }
+    pub fn with_highest_version(self, highest_version: Version) -> Self {
+        Self {
+            highest_version,
+            ..self
+        }
     }
 
     /// Takes the lists, or `None` if the store cannot be reached.
-    pub fn read(&mut self, read: Option<(Guard, &Stored)>) -> Step {
-        let Some((guard, stored)) = read else {
+    pub fn read(&mut self, read: Option<(CasVersion, &StoredLists)>) -> Step {
+        let Some((cas_version, stored)) = read else {
             return not_recorded(Cause::StoreUnavailable);
         };
-        if stored.version() < self.highest {
+        if stored.version() < self.highest_version {
             return not_recorded(Cause::StoreBehind);
         }
         self.rounds += 1;
@@ -202,24 +205,26 @@
                     at_ms: self.at_ms,
                     delta: Delta::after(stored.version(), changes),
                 };
-                self.sent = Some((guard, record.clone()));
-                Step::Commit(guard, record)
+                self.sent = Some((cas_version, record.clone()));
+                Step::Commit(cas_version, record)
             }
             Err(outcome) => Step::Done(outcome),
         }
     }
 
     /// Takes the answer to a commit.
-    pub fn committed(&mut self, answer: Answer) -> Step {
+    pub fn committed(&mut self, answer: CommitResult) -> Step {
         match (answer, &self.sent) {
-            (Answer::Taken, Some((_, record))) => {
+            (CommitResult::Committed, Some((_, record))) => {
                 Step::Done(Outcome::Recorded(record.delta.clone()))
             }
             // An earlier copy of the transaction may be the one that moved the head.
-            (Answer::Moved | Answer::NotSent, _) if self.read_backs > 0 => self.ask_back(),
-            (Answer::NotSent, _) => not_recorded(Cause::StoreUnavailable),
-            (Answer::Unknown, Some(_)) => self.ask_back(),
-            (Answer::Moved, _) | (_, None) => {
+            (CommitResult::HeadChanged | CommitResult::NotSent, _) if self.read_backs > 0 => {
+                self.retry_read_back()
+            }
+            (CommitResult::NotSent, _) => not_recorded(Cause::StoreUnavailable),
+            (CommitResult::Unknown, Some(_)) => self.retry_read_back(),
+            (CommitResult::HeadChanged, _) | (_, None) => {
                 self.sent = None;
                 Step::Read
             }
@@ -228,25 +233,27 @@
 
     /// Takes the lists and the history after a lost answer, or `None` if the store cannot be
     /// reached.
-    pub fn read_back(&mut self, read: Option<(Guard, &Stored, &[Record])>) -> Step {
-        let Some((guard, stored, history)) = read else {
-            return self.ask_back();
+    pub fn read_back(&mut self, read: Option<(CasVersion, &StoredLists, &[Record])>) -> Step {
+        let Some((cas_version, stored, history)) = read else {
+            return self.retry_read_back();
         };
         if let Some(record) = history.iter().find(|record| record.edit == self.record) {
             return Step::Done(Outcome::Recorded(record.delta.clone()));
         }
         match &self.sent {
-            Some((sent, record)) if *sent == guard => Step::Commit(guard, record.clone()),
-            // The head has moved past the guard without this edit, so it can never be recorded.
+            Some((sent, record)) if *sent == cas_version => {
+                Step::Commit(cas_version, record.clone())
+            }
+            // The head has changed without this edit, so it can never be recorded.
             _ => {
                 self.sent = None;
                 self.read_backs = 0;
-                self.read(Some((guard, stored)))
+                self.read(Some((cas_version, stored)))
             }
         }
     }
 
-    fn ask_back(&mut self) -> Step {
+    fn retry_read_back(&mut self) -> Step {
         self.read_backs += 1;
         if self.read_backs > MAX_READ_BACKS {
             return Step::Done(Outcome::Unresolved(self.record));
@@ -255,7 +262,7 @@
     }
 
     /// The changes that remain to be made, if they are allowed, up to date and valid.
-    fn changes(&self, stored: &Stored) -> Result<Vec<Change>, Outcome> {
+    fn changes(&self, stored: &StoredLists) -> Result<Vec<Change>, Outcome> {
         let before = stored.snapshot().lists;
         let proposals = match &self.proposals {
             Proposals::Entries(proposals) => proposals.clone(),
@@ -296,7 +303,7 @@
     Step::Done(Outcome::NotRecorded(cause))
 }
 
-fn conflicts(stored: &Stored, all: &Proposals, proposals: &[Proposal]) -> Vec<Conflict> {
+fn conflicts(stored: &StoredLists, all: &Proposals, proposals: &[Proposal]) -> Vec<Conflict> {
     // Whole lists also conflict with an entry that was removed since, which they would bring back.
     let moved = match all {
         Proposals::Whole(_, base) => stored.version().revision != *base,
@@ -349,7 +356,7 @@
     Read,
     /// Write in one transaction if the head still has the guard, and pass the answer to
     /// [`Resolve::committed`].
-    Commit(Guard, Record),
+    Commit(CasVersion, Record),
     /// The edit is resolved.
     Done(Resolved),
 }
@@ -364,8 +371,8 @@
 
     /// Takes the lists and the history, or `None` if the store cannot be reached.
     #[must_use]
-    pub fn read(&self, read: Option<(Guard, Version, &[Record])>) -> ResolveStep {
-        let Some((guard, version, history)) = read else {
+    pub fn read(&self, read: Option<(CasVersion, Version, &[Record])>) -> ResolveStep {
+        let Some((cas_version, version, history)) = read else {
             return ResolveStep::Done(Resolved::Unavailable);
         };
         if let Some(record) = history.iter().find(|record| record.edit == self.edit) {
@@ -385,16 +392,18 @@
             at_ms: self.at_ms,
             delta: Delta::after(version, Vec::new()),
         };
-        ResolveStep::Commit(guard, record)
+        ResolveStep::Commit(cas_version, record)
     }
 
     /// Takes the answer to a commit.
     #[must_use]
-    pub fn committed(&self, answer: Answer) -> ResolveStep {
+    pub fn committed(&self, answer: CommitResult) -> ResolveStep {
         match answer {
-            Answer::Taken => ResolveStep::Done(Resolved::NotRecorded),
-            Answer::Moved => ResolveStep::Read,
-            Answer::NotSent | Answer::Unknown => ResolveStep::Done(Resolved::Unavailable),
+            CommitResult::Committed => ResolveStep::Done(Resolved::NotRecorded),
+            CommitResult::HeadChanged => ResolveStep::Read,
+            CommitResult::NotSent | CommitResult::Unknown => {
+                ResolveStep::Done(Resolved::Unavailable)
+            }
         }
     }
 }
--- a/crates/core/src/lists/storage.rs
+++ b/crates/core/src/lists/storage.rs
@@ -63,7 +63,7 @@
 /// An entry and the revision at which it was last changed.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Dated<E> {
+pub struct Versioned<E> {
     /// Revision of the last change.
     pub revision: revision::Revision,
     /// The entry.
@@ -96,39 +96,39 @@
 
 /// The lists as the store holds them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stored {
+pub struct StoredLists {
     /// The head, or `None` before the first edit.
     pub head: Option<Head>,
     /// Accounts.
-    pub accounts: BTreeMap<name::AccountName, Dated<Account>>,
+    pub accounts: BTreeMap<name::AccountName, Versioned<Account>>,
     /// Plans.
-    pub plans: BTreeMap<name::PlanName, Dated<Plan>>,
+    pub plans: BTreeMap<name::PlanName, Versioned<Plan>>,
 }
 
 /// A value in the store that cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Corrupt {
+pub struct CorruptValue {
     /// Key of the value.
     pub key: String,
     /// What is wrong with it.
     pub cause: String,
 }
 
-impl fmt::Display for Corrupt {
+impl fmt::Display for CorruptValue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "key {} cannot be read: {}", self.key, self.cause)
     }
 }
 
-impl std::error::Error for Corrupt {}
+impl std::error::Error for CorruptValue {}
 
-impl Stored {
+impl StoredLists {
     /// Reads the keys under [`PREFIX`].
     ///
     /// # Errors
     ///
     /// Returns the first value that cannot be read.
-    pub fn read<'a, I>(entries: I) -> Result<Self, Corrupt>
+    pub fn read<'a, I>(entries: I) -> Result<Self, CorruptValue>
     where
         I: IntoIterator<Item = (&'a [u8], &'a [u8])>,
     {
@@ -175,10 +175,10 @@
     pub fn entry_revision(&self, change: &Change) -> Option<revision::Revision> {
         match change {
             Change::PutAccount(name, _) | Change::RemoveAccount(name) => {
-                self.accounts.get(name).map(|dated| dated.revision)
+                self.accounts.get(name).map(|versioned| versioned.revision)
             }
             Change::PutPlan(name, _) | Change::RemovePlan(name) => {
-                self.plans.get(name).map(|dated| dated.revision)
+                self.plans.get(name).map(|versioned| versioned.revision)
             }
         }
     }
@@ -188,14 +188,20 @@
     pub fn entry_as_change(&self, change: &Change) -> Change {
         match change {
             Change::PutAccount(name, _) | Change::RemoveAccount(name) => {
-                let entry = self.accounts.get(name).map(|dated| dated.entry.clone());
+                let entry = self
+                    .accounts
+                    .get(name)
+                    .map(|versioned| versioned.entry.clone());
                 entry.map_or_else(
                     || Change::RemoveAccount(name.clone()),
                     |entry| Change::PutAccount(name.clone(), entry),
                 )
             }
             Change::PutPlan(name, _) | Change::RemovePlan(name) => {
-                let entry = self.plans.get(name).map(|dated| dated.entry.clone());
+                let entry = self
+                    .plans
+                    .get(name)
+                    .map(|versioned| versioned.entry.clone());
                 entry.map_or_else(
                     || Change::RemovePlan(name.clone()),
                     |entry| Change::PutPlan(name.clone(), entry),
@@ -210,7 +216,7 @@
 /// # Errors
 ///
 /// Returns an error if the value is not a record.
-pub fn read_record(key: &[u8], value: &[u8]) -> Result<Record, Corrupt> {
+pub fn read_record(key: &[u8], value: &[u8]) -> Result<Record, CorruptValue> {
     parse(&String::from_utf8_lossy(key), value)
 }
 
@@ -243,7 +249,7 @@
 
 /// The writes that bring a store up to date that holds other entries.
 #[must_use]
-pub fn repair_writes(stored: &Stored, lists: &Lists, record: &Record) -> Vec<Write> {
+pub fn repair_writes(stored: &StoredLists, lists: &Lists, record: &Record) -> Vec<Write> {
     let revision = record.delta.to.revision;
     let changes = stored.snapshot().lists.changes_to(lists);
     let changes = changes.iter().map(|change| write(revision, change));
@@ -263,7 +269,7 @@
 where
     E: serde::Serialize,
 {
-    put(format!("{prefix}{name}"), &Dated { revision, entry })
+    put(format!("{prefix}{name}"), &Versioned { revision, entry })
 }
 
 fn put<V>(key: String, value: &V) -> Write
@@ -278,25 +284,25 @@
     format!("{HISTORY}{:020}", revision.0)
 }
 
-fn parse<V>(key: &str, value: &[u8]) -> Result<V, Corrupt>
+fn parse<V>(key: &str, value: &[u8]) -> Result<V, CorruptValue>
 where
     V: de::DeserializeOwned,
 {
-    serde_json::from_slice(value).map_err(|e| corrupt(key, &e))
+    serde_json::from_slice(value).map_err(|e| corrupt_value(key, &e))
 }
 
-fn parse_name<N>(key: &str, name: &str) -> Result<N, Corrupt>
+fn parse_name<N>(key: &str, name: &str) -> Result<N, CorruptValue>
 where
     N: std::str::FromStr<Err = name::ParseNameError>,
 {
-    name.parse().map_err(|e| corrupt(key, &e))
+    name.parse().map_err(|e| corrupt_value(key, &e))
 }
 
-fn corrupt<E>(key: &str, cause: &E) -> Corrupt
+fn corrupt_value<E>(key: &str, cause: &E) -> CorruptValue
 where
     E: fmt::Display,
 {
-    Corrupt {
+    CorruptValue {
         key: key.to_owned(),
         cause: cause.to_string(),
     }
--- a/crates/core/tests/lists_edit.rs
+++ b/crates/core/tests/lists_edit.rs
@@ -4,10 +4,10 @@
 
 use bytes::Bytes;
 use pistachiochute_core::lists::edit::{
-    self, Answer, Base, Cause, Edit, Guard, Outcome, Proposal, Proposals, Resolve, ResolveStep,
-    Resolved, Step,
+    self, Base, CasVersion, Cause, CommitResult, Edit, Outcome, Proposal, Proposals, Resolve,
+    ResolveStep, Resolved, Step,
 };
-use pistachiochute_core::lists::storage::{self, Author, EditId, Record, Stored, Write};
+use pistachiochute_core::lists::storage::{self, Author, EditId, Record, StoredLists, Write};
 use pistachiochute_core::lists::{self, Change, Version};
 use pistachiochute_core::revision::Revision;
 use pistachiochute_core::units;
@@ -19,21 +19,21 @@
     keys: BTreeMap<String, (u64, Bytes)>,
     revision: u64,
     /// Transactions that are still on their way.
-    delayed: Vec<(Guard, Record)>,
+    delayed: Vec<(CasVersion, Record)>,
 }
 
 impl Store {
-    fn guard(&self) -> Guard {
-        Guard(
+    fn cas_version(&self) -> CasVersion {
+        CasVersion(
             self.keys
                 .get(storage::HEAD)
                 .map_or(0, |(modified, _)| *modified),
         )
     }
 
-    fn read(&self) -> Stored {
+    fn read(&self) -> StoredLists {
         let entries = self.keys.iter();
-        Stored::read(entries.map(|(key, (_, value))| (key.as_bytes(), &value[..]))).unwrap()
+        StoredLists::read(entries.map(|(key, (_, value))| (key.as_bytes(), &value[..]))).unwrap()
     }
 
     fn history(&self) -> Vec<Record> {
@@ -46,9 +46,9 @@
             .collect()
     }
 
-    fn commit(&mut self, guard: Guard, record: &Record) -> Answer {
-        if guard != self.guard() {
-            return Answer::Moved;
+    fn commit(&mut self, cas_version: CasVersion, record: &Record) -> CommitResult {
+        if cas_version != self.cas_version() {
+            return CommitResult::HeadChanged;
         }
         self.revision += 1;
         for write in storage::writes(record) {
@@ -57,12 +57,12 @@
                 Write::Delete(key) => self.keys.remove(&key),
             };
         }
-        Answer::Taken
+        CommitResult::Committed
     }
 
     fn deliver_delayed(&mut self) {
-        for (guard, record) in std::mem::take(&mut self.delayed) {
-            self.commit(guard, &record);
+        for (cas_version, record) in std::mem::take(&mut self.delayed) {
+            self.commit(cas_version, &record);
         }
     }
 
@@ -147,22 +147,22 @@
             Step::Done(outcome) => return outcome,
             Step::Read => {
                 let stored = store.read();
-                edit.read(reached.then_some((store.guard(), &stored)))
+                edit.read(reached.then_some((store.cas_version(), &stored)))
             }
             Step::ReadBack => {
                 let (stored, history) = (store.read(), store.history());
-                edit.read_back(reached.then_some((store.guard(), &stored, &history[..])))
+                edit.read_back(reached.then_some((store.cas_version(), &stored, &history[..])))
             }
-            Step::Commit(guard, record) => match fate {
-                Fate::Answered => edit.committed(store.commit(guard, &record)),
-                Fate::NotSent => edit.committed(Answer::NotSent),
+            Step::Commit(cas_version, record) => match fate {
+                Fate::Answered => edit.committed(store.commit(cas_version, &record)),
+                Fate::NotSent => edit.committed(CommitResult::NotSent),
                 Fate::AnswerLost => {
-                    store.commit(guard, &record);
-                    edit.committed(Answer::Unknown)
+                    store.commit(cas_version, &record);
+                    edit.committed(CommitResult::Unknown)
                 }
                 Fate::Delayed => {
-                    store.delayed.push((guard, record));
-                    edit.committed(Answer::Unknown)
+                    store.delayed.push((cas_version, record));
+                    edit.committed(CommitResult::Unknown)
                 }
                 Fate::Raced => {
                     raced += 1;
@@ -174,7 +174,7 @@
                         every as Allowed,
                     );
                     run(store, &mut other, &mut std::iter::empty());
-                    edit.committed(store.commit(guard, &record))
+                    edit.committed(store.commit(cas_version, &record))
                 }
             },
         };
@@ -189,9 +189,15 @@
             ResolveStep::Done(resolved) => return resolved,
             ResolveStep::Read => {
                 let history = store.history();
-                resolve.read(Some((store.guard(), store.read().version(), &history)))
+                resolve.read(Some((
+                    store.cas_version(),
+                    store.read().version(),
+                    &history,
+                )))
+            }
+            ResolveStep::Commit(cas_version, record) => {
+                resolve.committed(store.commit(cas_version, &record))
             }
-            ResolveStep::Commit(guard, record) => resolve.committed(store.commit(guard, &record)),
         };
     }
 }
@@ -319,7 +325,7 @@
         put("q", 1, Base::Absent),
         every as Allowed,
     )
-    .with_highest(ahead);
+    .with_highest_version(ahead);
     let outcome = run(&mut store, &mut edit, &mut std::iter::empty());
     assert_eq!(outcome, Outcome::NotRecorded(Cause::StoreBehind));
     assert_eq!(store.history().len(), 1);
--- a/crates/runtime/src/lists/editor.rs
+++ b/crates/runtime/src/lists/editor.rs
@@ -43,7 +43,7 @@
     {
         let author = storage::Author::Operator(operator);
         let mut edit = Edit::new(id, author, unix::now_ms(), proposals, allowed)
-            .with_highest(self.control.highest_version());
+            .with_highest_version(self.control.highest_version());
         if let Some(catalog) = self.control.catalog() {
             edit = edit.with_served_targets(catalog);
         }
--- a/crates/runtime/src/lists/store.rs
+++ b/crates/runtime/src/lists/store.rs
@@ -17,7 +17,7 @@
     /// The service did not answer.
     Unavailable(key_value::Error),
     /// A value cannot be read.
-    Corrupt(storage::Corrupt),
+    Corrupt(storage::CorruptValue),
 }
 
 impl fmt::Display for Error {
@@ -37,8 +37,8 @@
     }
 }
 
-impl From<storage::Corrupt> for Error {
-    fn from(e: storage::Corrupt) -> Self {
+impl From<storage::CorruptValue> for Error {
+    fn from(e: storage::CorruptValue) -> Self {
         Self::Corrupt(e)
     }
 }
@@ -47,9 +47,9 @@
 #[derive(Clone, Debug)]
 pub struct Read {
     /// Guard of the head.
-    pub guard: edit::Guard,
+    pub guard: edit::CasVersion,
     /// The lists.
-    pub stored: storage::Stored,
+    pub stored: storage::StoredLists,
     /// Revision of the store.
     pub revision: pistachiochute_core::revision::Revision,
 }
@@ -115,7 +115,7 @@
 
     /// Commits an edit if the head still has the guard.
     #[must_use]
-    pub fn commit(&self, guard: edit::Guard, record: &storage::Record) -> edit::Answer {
+    pub fn commit(&self, guard: edit::CasVersion, record: &storage::Record) -> edit::CommitResult {
         self.write(guard, storage::writes(record))
     }
 
@@ -129,10 +129,10 @@
         expected: lists::Version,
         lists: &lists::Lists,
         record: &storage::Record,
-    ) -> Result<edit::Answer, Error> {
+    ) -> Result<edit::CommitResult, Error> {
         let read = self.read()?;
         if read.stored.version() != expected {
-            return Ok(edit::Answer::Moved);
+            return Ok(edit::CommitResult::HeadChanged);
         }
         let writes = storage::repair_writes(&read.stored, lists, record);
         Ok(self.write(read.guard, writes))
@@ -151,7 +151,7 @@
         self.kv.watch(prefix(storage::HISTORY), from)
     }
 
-    fn write(&self, guard: edit::Guard, writes: Vec<storage::Write>) -> edit::Answer {
+    fn write(&self, guard: edit::CasVersion, writes: Vec<storage::Write>) -> edit::CommitResult {
         let head = Bytes::from_static(storage::HEAD.as_bytes());
         let guard = pistachiochute_core::revision::Revision(guard.0);
         let txn = key_value::Txn {
@@ -160,10 +160,10 @@
             failure: Vec::new(),
         };
         match self.kv.txn(&txn) {
-            Ok(committed) if committed.succeeded => edit::Answer::Taken,
-            Ok(_) => edit::Answer::Moved,
-            Err(e) if e.had_no_effect() => edit::Answer::NotSent,
-            Err(_) => edit::Answer::Unknown,
+            Ok(committed) if committed.succeeded => edit::CommitResult::Committed,
+            Ok(_) => edit::CommitResult::HeadChanged,
+            Err(e) if e.had_no_effect() => edit::CommitResult::NotSent,
+            Err(_) => edit::CommitResult::Unknown,
         }
     }
 }
@@ -173,12 +173,12 @@
         .entries
         .iter()
         .find(|entry| entry.key == storage::HEAD);
-    let guard = edit::Guard(head.map_or(0, |entry| entry.modified.0));
+    let guard = edit::CasVersion(head.map_or(0, |entry| entry.modified.0));
     let pairs = found
         .entries
         .iter()
         .map(|entry| (&entry.key[..], &entry.value[..]));
-    let stored = storage::Stored::read(pairs)?;
+    let stored = storage::StoredLists::read(pairs)?;
     Ok(Read {
         guard,
         stored,
--- a/crates/runtime/src/lists/sync.rs
+++ b/crates/runtime/src/lists/sync.rs
@@ -228,7 +228,7 @@
         };
         slog::warn!(self.log, "store is behind and gets the lists back"; "was" => ?expected);
         // An answer that was lost is found by the next read.
-        if self.store.repair(expected, lists, &record) == Ok(edit::Answer::Taken) {
+        if self.store.repair(expected, lists, &record) == Ok(edit::CommitResult::Committed) {
             self.control.recorded(delta);
         }
     }
--- a/crates/runtime/tests/support/mod.rs
+++ b/crates/runtime/tests/support/mod.rs
@@ -309,7 +309,7 @@
         delta: lists::Delta::after(before.version, before.lists.changes_to(lists)),
     };
     let answer = store.commit(read.guard, &record);
-    assert_eq!(answer, lists::edit::Answer::Taken);
+    assert_eq!(answer, lists::edit::CommitResult::Committed);
     record.delta.to.revision
 }
 
