--- a/crates/core/src/catalog/current.rs
+++ b/crates/core/src/catalog/current.rs
@@ -6,27 +6,27 @@
 
 /// What became of an offered catalog.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum UpdateResult {
     /// It is in force now.
-    Taken,
+    Applied,
     /// The one in force is as new or newer.
     NotNewer,
 }
 
 /// The catalog in force. Its version never goes down.
 #[derive(Clone, Debug, Default)]
-pub struct Current {
+pub struct CurrentCatalog {
     catalog: Option<Arc<catalog::Catalog>>,
 }
 
-impl Current {
+impl CurrentCatalog {
     /// Takes over a catalog if it is newer than the one in force.
-    pub fn offer(&mut self, content: catalog::Content) -> Offer {
+    pub fn update(&mut self, content: catalog::Content) -> UpdateResult {
         if self.version() >= Some(content.version) {
-            return Offer::NotNewer;
+            return UpdateResult::NotNewer;
         }
         self.catalog = Some(Arc::new(catalog::Catalog::new(content)));
-        Offer::Taken
+        UpdateResult::Applied
     }
 
     /// Version in force, or `None` before the first catalog.
--- a/crates/core/src/catalog/mod.rs
+++ b/crates/core/src/catalog/mod.rs
@@ -1,14 +1,14 @@
 //! What callers may ask for: routes, services and client accounts, as one versioned catalog.
 //!
 //! Every source of configuration is decoded into a [`Catalog`]. A host takes over a catalog only
-//! if its version is newer than the one in force ([`Current::offer`]), so no stale read, late
+//! if its version is newer than the one in force ([`CurrentCatalog::update`]), so no stale read, late
 //! event or peer brings an older one back.
 
 mod current;
 mod model;
 mod routes;
 
-pub use current::{Current, Offer};
+pub use current::{CurrentCatalog, UpdateResult};
 pub use model::{
     Account, AccountIndex, CallerLimits, Content, Kind, Route, RouteIndex, Service, ServiceIndex,
     Target, Version,
--- a/crates/core/src/lists/edit.rs
+++ b/crates/core/src/lists/edit.rs
@@ -277,7 +277,7 @@
         };
         let proposals: Vec<_> = proposals
             .into_iter()
-            .filter(|proposal| !before.has(&proposal.change))
+            .filter(|proposal| !before.is_unchanged_by(&proposal.change))
             .collect();
         let changes: Vec<_> = proposals.iter().map(|p| p.change.clone()).collect();
         let mut forbidden = changes.clone();
--- a/crates/core/src/lists/model.rs
+++ b/crates/core/src/lists/model.rs
@@ -47,7 +47,7 @@
 impl Plan {
     /// Whether the plan holds the target.
     #[must_use]
-    pub fn has(&self, target: &request::Target) -> bool {
+    pub fn allows(&self, target: &request::Target) -> bool {
         match target {
             request::Target::Model(model) => self.models.contains(model),
             request::Target::Service(service) => self.services.contains(service),
@@ -102,7 +102,7 @@
 
     /// Whether the change would leave the lists as they are.
     #[must_use]
-    pub fn has(&self, change: &Change) -> bool {
+    pub fn is_unchanged_by(&self, change: &Change) -> bool {
         match change {
             Change::PutAccount(name, account) => self.accounts.get(name) == Some(account),
             Change::RemoveAccount(name) => !self.accounts.contains_key(name),
@@ -129,7 +129,7 @@
         let gone_plans = self.plans.keys().filter(|k| !to.plans.contains_key(*k));
         put_plans
             .chain(put_accounts)
-            .filter(|change| !self.has(change))
+            .filter(|change| !self.is_unchanged_by(change))
             .chain(gone_accounts.cloned().map(Change::RemoveAccount))
             .chain(gone_plans.cloned().map(Change::RemovePlan))
             .collect()
--- a/crates/core/tests/catalog.rs
+++ b/crates/core/tests/catalog.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use pistachiochute_core::catalog::{
-    Account, CallerLimits, Catalog, Content, Current, Kind, Offer, Route, Service, ServiceIndex,
-    Target, Version,
+    Account, CallerLimits, Catalog, Content, CurrentCatalog, Kind, Route, Service, ServiceIndex,
+    Target, UpdateResult, Version,
 };
 use pistachiochute_core::lists::KeyDigest;
 use smallvec::smallvec;
@@ -77,12 +77,24 @@
 
 #[test]
 fn the_version_in_force_never_goes_down() {
-    let mut current = Current::default();
-    assert_eq!(current.offer(content(7, Vec::new())), Offer::Taken);
-    assert_eq!(current.offer(content(3, Vec::new())), Offer::NotNewer);
-    assert_eq!(current.offer(content(7, Vec::new())), Offer::NotNewer);
+    let mut current = CurrentCatalog::default();
+    assert_eq!(
+        current.update(content(7, Vec::new())),
+        UpdateResult::Applied
+    );
+    assert_eq!(
+        current.update(content(3, Vec::new())),
+        UpdateResult::NotNewer
+    );
+    assert_eq!(
+        current.update(content(7, Vec::new())),
+        UpdateResult::NotNewer
+    );
     assert_eq!(current.version(), Some(Version(7)));
-    assert_eq!(current.offer(content(20, Vec::new())), Offer::Taken);
+    assert_eq!(
+        current.update(content(20, Vec::new())),
+        UpdateResult::Applied
+    );
 }
 
 #[test]
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -128,8 +128,8 @@
     /// Takes over a catalog if it is newer, and publishes it.
     fn offer_catalog(&self, content: catalog::Content, source: events::Source) {
         let version = content.version;
-        let offer = self.state.borrow_mut().catalog.offer(content);
-        if offer == catalog::Offer::Taken {
+        let result = self.state.borrow_mut().catalog.update(content);
+        if result == catalog::UpdateResult::Applied {
             self.events.catalog_taken(version, source);
             self.publish();
         }
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -49,7 +49,7 @@
     /// Name of this host.
     pub me: Arc<str>,
     /// Catalog in force.
-    pub catalog: catalog::Current,
+    pub catalog: catalog::CurrentCatalog,
     /// Endpoints.
     pub directory: directory::Directory,
     /// Hosts of the fleet.
@@ -75,7 +75,7 @@
     pub fn new(me: Arc<str>, domain: String) -> Self {
         Self {
             me,
-            catalog: catalog::Current::default(),
+            catalog: catalog::CurrentCatalog::default(),
             directory: directory::Directory::default(),
             hosts: roster::Roster::default(),
             peers: HashMap::new(),
--- a/crates/runtime/src/control/arrive.rs
+++ b/crates/runtime/src/control/arrive.rs
@@ -111,7 +111,7 @@
     fn plan_of(&self, call: &call::Call) -> Result<(&name::AccountName, &lists::Plan), Refused> {
         let (name, account) = self.account_of(&call.key_digest)?;
         match self.plan(account) {
-            Some(plan) if plan.has(&call.target) => Ok((name, plan)),
+            Some(plan) if plan.allows(&call.target) => Ok((name, plan)),
             _ => {
                 let message = format!("plan {} does not hold {}", account.plan, call.target);
                 Err(Refused::new(reason::Refusal::NotInPlan, message))
