--- a/crates/cases/src/machine/replica.rs
+++ b/crates/cases/src/machine/replica.rs
@@ -137,10 +137,10 @@
         let effects = match event {
             Event::Start | Event::Tick => replica.tick(now),
             Event::Receive { from, message } => {
-                replica.receive(now, from, history.message(message))
+                replica.handle_message(now, from, history.message(message))
             }
-            Event::Store(store) => replica.store(now, history.answer(store)),
-            Event::Recorded(version) => replica.recorded(now, history.delta(version)),
+            Event::Store(store) => replica.handle_store_answer(now, history.answer(store)),
+            Event::Recorded(version) => replica.handle_recorded_delta(now, history.delta(version)),
         };
         self.outcome(&effects)
     }
--- a/crates/core/src/lists/replica/confirm.rs
+++ b/crates/core/src/lists/replica/confirm.rs
@@ -10,12 +10,12 @@
 use crate::{entity, revision, time};
 
 /// Age at which a confirmation of a host or a report of a domain no longer counts.
-const STALE: Duration = Duration::from_secs(25);
+const REPORT_TTL: Duration = Duration::from_secs(25);
 
 /// Whether a domain reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reach {
+pub enum DomainReach {
     /// The domain reported lately.
     Reporting,
     /// The domain has not reported lately: what it has in force is not known.
@@ -28,7 +28,7 @@
     /// The domain.
     pub domain: entity::DomainId,
     /// Whether it reports.
-    pub reach: Reach,
+    pub reach: DomainReach,
     /// Live hosts of the domain, by its last report.
     pub hosts: u32,
     /// Hosts that confirmed the revision asked for or a later one, by its last report.
@@ -37,7 +37,7 @@
 
 /// A report and the time at which it was true.
 #[derive(Clone, Debug)]
-struct Dated {
+struct TimedReport {
     report: message::DomainReport,
     at: time::Time,
 }
@@ -48,12 +48,12 @@
     /// Last revision that each host of the domain announced, and when. Bounded by the view.
     hosts: BTreeMap<entity::HostId, (revision::Revision, time::Time)>,
     /// Last report of each other domain. Bounded by the number of domains in the view.
-    domains: BTreeMap<entity::DomainId, Dated>,
+    domains: BTreeMap<entity::DomainId, TimedReport>,
 }
 
 impl Confirmations {
     /// Notes that a host has a revision in force.
-    pub(super) fn confirm(
+    pub(super) fn record_confirmation(
         &mut self,
         now: time::Time,
         view: &View,
@@ -77,7 +77,8 @@
             let at = now - Duration::from_millis(u64::from(report.age_ms));
             let known = self.domains.get(&report.domain);
             if known.is_none_or(|known| known.at < at) {
-                self.domains.insert(report.domain, Dated { report, at });
+                self.domains
+                    .insert(report.domain, TimedReport { report, at });
             }
         }
     }
@@ -90,11 +91,11 @@
         });
         let mut reports: Vec<_> = if view.is_watcher() {
             let others = others.filter(|report| report.domain != view.domain());
-            others.chain([self.own(now, view)]).collect()
+            others.chain([self.own_report(now, view)]).collect()
         } else {
             others.collect()
         };
-        reports.retain(|report| Duration::from_millis(u64::from(report.age_ms)) < STALE * 4);
+        reports.retain(|report| Duration::from_millis(u64::from(report.age_ms)) < REPORT_TTL * 4);
         reports
     }
 
@@ -112,13 +113,13 @@
         let status = |domain| {
             let report = reports.iter().find(|report| report.domain == domain);
             let age = report.map_or(u32::MAX, |report| report.age_ms);
-            let fresh = Duration::from_millis(u64::from(age)) < STALE;
+            let fresh = Duration::from_millis(u64::from(age)) < REPORT_TTL;
             DomainStatus {
                 domain,
                 reach: if fresh {
-                    Reach::Reporting
+                    DomainReach::Reporting
                 } else {
-                    Reach::Unreachable
+                    DomainReach::Unreachable
                 },
                 hosts: report.map_or(0, |report| report.hosts),
                 confirmed: report.map_or(0, |report| report.confirmed(revision)),
@@ -127,10 +128,10 @@
         domains.into_iter().map(status).collect()
     }
 
-    fn own(&self, now: time::Time, view: &View) -> message::DomainReport {
+    fn own_report(&self, now: time::Time, view: &View) -> message::DomainReport {
         let mut levels: BTreeMap<_, u32> = BTreeMap::new();
         for (revision, at) in self.hosts.values() {
-            if now.since(*at) < STALE {
+            if now.since(*at) < REPORT_TTL {
                 *levels.entry(*revision).or_default() += 1;
             }
         }
--- a/crates/core/src/lists/replica/exchange.rs
+++ b/crates/core/src/lists/replica/exchange.rs
@@ -8,17 +8,17 @@
 use crate::{entity, time};
 
 /// Period of the confirmations to the watchers of the domain.
-const CONFIRM: Duration = Duration::from_secs(10);
+const CONFIRM_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Shortest time between two whole copies that a host sends.
-const SNAPSHOT_SPACING: Duration = Duration::from_millis(50);
+const MIN_SNAPSHOT_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Replica {
-    pub(super) fn announce(&mut self, effects: &mut Effects) {
-        self.turn = self.turn.wrapping_add(1);
+    pub(super) fn send_announcements(&mut self, effects: &mut Effects) {
+        self.round_robin = self.round_robin.wrapping_add(1);
         let mut send = |hosts: &[entity::HostId]| {
             if !hosts.is_empty() {
-                let to = hosts[self.turn % hosts.len()];
+                let to = hosts[self.round_robin % hosts.len()];
                 effects.push(Effect::Send(to, Message::Announce(self.version)));
             }
         };
@@ -29,34 +29,34 @@
     }
 
     /// Tells the watchers of the domain what is in force here.
-    pub(super) fn confirm(&mut self, now: time::Time, effects: &mut Effects) {
-        self.next_confirm = now + CONFIRM;
+    pub(super) fn send_confirmation(&mut self, now: time::Time, effects: &mut Effects) {
+        self.next_confirm = now + CONFIRM_INTERVAL;
         let own = self.view.host();
         self.confirmations
-            .confirm(now, &self.view, own, self.version.revision);
+            .record_confirmation(now, &self.view, own, self.version.revision);
         let watchers = self.view.watchers(self.view.domain()).iter();
         let others = watchers.filter(|host| **host != own);
         effects.extend(others.map(|host| Effect::Send(*host, Message::Announce(self.version))));
     }
 
     /// Sends the domain reports to watchers of other domains, at doubling distances.
-    pub(super) fn report(&mut self, now: time::Time, effects: &mut Effects) {
+    pub(super) fn send_reports(&mut self, now: time::Time, effects: &mut Effects) {
         let own = self.view.host();
         self.confirmations
-            .confirm(now, &self.view, own, self.version.revision);
+            .record_confirmation(now, &self.view, own, self.version.revision);
         let reports = self.confirmations.reports(now, &self.view);
         let remote = self.view.remote_watchers();
         if remote.is_empty() {
             return;
         }
-        let to = remote[self.turn.wrapping_mul(3) % remote.len()];
+        let to = remote[self.round_robin.wrapping_mul(3) % remote.len()];
         effects.push(Effect::Send(to, Message::Domains(reports.clone())));
         let local = self.view.watchers(self.view.domain()).iter();
         let others = local.filter(|host| **host != own);
         effects.extend(others.map(|host| Effect::Send(*host, Message::Domains(reports.clone()))));
     }
 
-    pub(super) fn announced(
+    pub(super) fn handle_announce(
         &mut self,
         now: time::Time,
         from: entity::HostId,
@@ -64,19 +64,19 @@
         effects: &mut Effects,
     ) {
         self.confirmations
-            .confirm(now, &self.view, from, version.revision);
-        self.heard(now, version);
+            .record_confirmation(now, &self.view, from, version.revision);
+        self.observe_version(now, version);
         if version < self.version {
-            self.update(now, from, version, effects);
+            self.send_missing(now, from, version, effects);
         }
         if version > self.version {
-            self.ask(now, from, effects);
+            self.fetch_from(now, from, effects);
         } else {
             self.peer_answered(now, from, effects);
         }
     }
 
-    pub(super) fn fetched(
+    pub(super) fn handle_fetch(
         &mut self,
         now: time::Time,
         from: entity::HostId,
@@ -84,14 +84,14 @@
         effects: &mut Effects,
     ) {
         if version < self.version {
-            self.update(now, from, version, effects);
+            self.send_missing(now, from, version, effects);
         } else {
             effects.push(Effect::Send(from, Message::Announce(self.version)));
         }
     }
 
     /// Sends what a peer lacks.
-    pub(super) fn update(
+    pub(super) fn send_missing(
         &mut self,
         now: time::Time,
         to: entity::HostId,
@@ -101,7 +101,7 @@
         if let Some(deltas) = self.log.after(version) {
             effects.push(Effect::Send(to, Message::Deltas(deltas)));
         } else if self.next_snapshot <= now {
-            self.next_snapshot = now + SNAPSHOT_SPACING;
+            self.next_snapshot = now + MIN_SNAPSHOT_INTERVAL;
             let snapshot = Snapshot {
                 version: self.version,
                 lists: Lists::clone(&self.lists),
@@ -111,18 +111,23 @@
     }
 
     /// Asks a peer for what this host lacks, one peer at a time.
-    pub(super) fn ask(&mut self, now: time::Time, peer: entity::HostId, effects: &mut Effects) {
+    pub(super) fn fetch_from(
+        &mut self,
+        now: time::Time,
+        peer: entity::HostId,
+        effects: &mut Effects,
+    ) {
         let waiting = self
-            .fetch
+            .pending_fetch
             .is_some_and(|(_, sent)| now.since(sent) < ANSWER_TIMEOUT);
         if !waiting {
-            self.fetch = Some((peer, now));
+            self.pending_fetch = Some((peer, now));
             effects.push(Effect::Send(peer, Message::Fetch(self.version)));
         }
     }
 
     /// Passes a message on to the peers, but not back.
-    pub(super) fn push(
+    pub(super) fn forward_to_peers(
         &self,
         from: Option<entity::HostId>,
         message: &Message,
--- a/crates/core/src/lists/replica/log.rs
+++ b/crates/core/src/lists/replica/log.rs
@@ -12,14 +12,14 @@
 
 /// Consecutive deltas that end at the version in force.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Log {
+pub(super) struct DeltaLog {
     /// Invariant: each delta starts where the one before it ends.
     deltas: VecDeque<Delta>,
     /// Changes in all deltas.
     changes: usize,
 }
 
-impl Log {
+impl DeltaLog {
     pub(super) fn push(&mut self, delta: Delta) {
         self.changes += delta.changes.len();
         self.deltas.push_back(delta);
--- a/crates/core/src/lists/replica/mod.rs
+++ b/crates/core/src/lists/replica/mod.rs
@@ -20,6 +20,6 @@
 mod state;
 mod view;
 
-pub use confirm::{DomainStatus, Reach};
+pub use confirm::{DomainReach, DomainStatus};
 pub use state::{Effect, Effects, Replica, StoreAnswer};
 pub use view::View;
--- a/crates/core/src/lists/replica/start.rs
+++ b/crates/core/src/lists/replica/start.rs
@@ -11,10 +11,10 @@
 use crate::{entity, time};
 
 /// Longest wait of a starting host for the sources that have not answered.
-const START_WAIT: Duration = Duration::from_secs(2);
+const SOURCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Longest wait of a starting host for a version that was announced and cannot be fetched.
-const START_GIVE_UP: Duration = Duration::from_secs(10);
+const START_DEADLINE: Duration = Duration::from_secs(10);
 
 /// Peers that a starting host asks at once.
 const START_PEERS: usize = 4;
@@ -25,32 +25,32 @@
     /// When the host started.
     pub(super) started: time::Time,
     /// When the sources were last asked.
-    pub(super) since: time::Time,
+    pub(super) asked_at: time::Time,
     /// Peers that were asked and have not answered.
-    pub(super) peers: SmallVec<[entity::HostId; START_PEERS]>,
+    pub(super) pending_peers: SmallVec<[entity::HostId; START_PEERS]>,
     /// Whether the store has answered, and had lists or none.
-    pub(super) store: bool,
+    pub(super) store_answered: bool,
 }
 
 impl Replica {
     /// Asks again when the sources have not answered in time.
     pub(super) fn tick_start(&mut self, now: time::Time, effects: &mut Effects) {
-        let waited = |starting: &Starting| now.since(starting.since) >= START_WAIT;
+        let waited = |starting: &Starting| now.since(starting.asked_at) >= SOURCE_TIMEOUT;
         if !self.starting.as_ref().is_some_and(waited) {
             return;
         }
-        self.settle(now, effects);
+        self.finish_start_if_ready(now, effects);
         if self.starting.is_some() {
-            self.ask_all(now, effects);
+            self.query_sources(now, effects);
         }
     }
 
     /// Asks the store and a few peers for their lists.
-    pub(super) fn ask_all(&mut self, now: time::Time, effects: &mut Effects) {
+    pub(super) fn query_sources(&mut self, now: time::Time, effects: &mut Effects) {
         let local = self.view.peers();
         let remote = self.view.remote_watchers();
-        let skip = self.turn;
-        self.turn = self.turn.wrapping_add(1);
+        let skip = self.round_robin;
+        self.round_robin = self.round_robin.wrapping_add(1);
         let rotate = |hosts: &[entity::HostId], n: usize| -> SmallVec<[entity::HostId; 4]> {
             let cycle = hosts.iter().cycle().skip(skip % hosts.len().max(1));
             cycle.take(n.min(hosts.len())).copied().collect()
@@ -58,11 +58,11 @@
         let remote = rotate(&remote, 1);
         let mut peers = rotate(&local, START_PEERS - remote.len());
         peers.extend(remote);
-        let store = self
+        let store_answered = self
             .starting
             .as_ref()
-            .is_some_and(|starting| starting.store);
-        if !store {
+            .is_some_and(|starting| starting.store_answered);
+        if !store_answered {
             effects.push(Effect::ReadStore);
         }
         let fetches = peers
@@ -75,17 +75,17 @@
             .map_or(now, |starting| starting.started);
         self.starting = Some(Starting {
             started,
-            since: now,
-            peers,
-            store,
+            asked_at: now,
+            pending_peers: peers,
+            store_answered,
         });
     }
 
     pub(super) fn store_answered(&mut self, now: time::Time, effects: &mut Effects) {
         if let Some(starting) = &mut self.starting {
-            starting.store = true;
+            starting.store_answered = true;
         }
-        self.settle(now, effects);
+        self.finish_start_if_ready(now, effects);
     }
 
     pub(super) fn peer_answered(
@@ -95,25 +95,25 @@
         effects: &mut Effects,
     ) {
         if let Some(starting) = &mut self.starting {
-            starting.peers.retain(|other| *other != peer);
+            starting.pending_peers.retain(|other| *other != peer);
         }
-        self.settle(now, effects);
+        self.finish_start_if_ready(now, effects);
     }
 
     /// Ends the start when the sources have answered, or when one has and the wait is over.
-    pub(super) fn settle(&mut self, now: time::Time, effects: &mut Effects) {
+    pub(super) fn finish_start_if_ready(&mut self, now: time::Time, effects: &mut Effects) {
         let Some(starting) = &self.starting else {
             return;
         };
-        let waited = now.since(starting.since) >= START_WAIT;
-        let all = starting.store && starting.peers.is_empty();
-        let some = starting.store || self.version > Version::NONE;
-        let given_up = now.since(starting.started) >= START_GIVE_UP;
-        let complete = self.version == self.highest() || given_up;
+        let waited = now.since(starting.asked_at) >= SOURCE_TIMEOUT;
+        let all = starting.store_answered && starting.pending_peers.is_empty();
+        let some = starting.store_answered || self.version > Version::NONE;
+        let given_up = now.since(starting.started) >= START_DEADLINE;
+        let complete = self.version == self.highest_version() || given_up;
         if complete && (all || (waited && some)) {
             self.starting = None;
             effects.push(Effect::InForce(self.version, Arc::clone(&self.lists)));
-            self.confirm(now, effects);
+            self.send_confirmation(now, effects);
         }
     }
 }
--- a/crates/core/src/lists/replica/state.rs
+++ b/crates/core/src/lists/replica/state.rs
@@ -6,7 +6,7 @@
 use smallvec::SmallVec;
 
 use super::confirm::{Confirmations, DomainStatus};
-use super::log::Log;
+use super::log::DeltaLog;
 use super::start::Starting;
 use super::view::View;
 use crate::lists::message::Message;
@@ -14,38 +14,38 @@
 use crate::{entity, revision, time};
 
 /// Period of the announcements to one peer.
-const ANNOUNCE: Duration = Duration::from_secs(1);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Period of the domain reports between watchers.
-const REPORT: Duration = Duration::from_secs(2);
+const REPORT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Period at which a watcher compares its version with the store.
-const STORE_READ: Duration = Duration::from_secs(5);
+const STORE_READ_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Time after which an unanswered request to a peer or the store counts as lost.
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time after which a version that nobody announces any more is no longer waited for.
-const HIGHEST_KEPT: Duration = Duration::from_secs(60);
+const HIGHEST_VERSION_TTL: Duration = Duration::from_secs(60);
 
 /// Time for which the store must be behind before its lists are written back.
-const REPAIR_AFTER: Duration = Duration::from_secs(12);
+const REPAIR_DELAY: Duration = Duration::from_secs(12);
 
 /// What the replica asks its surroundings to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send a message to a host.
     Send(entity::HostId, Message),
-    /// Read the lists from the store and pass the answer to [`Replica::store`].
+    /// Read the lists from the store and pass the answer to [`Replica::handle_store_answer`].
     ReadStore,
-    /// Pass each later delta of the store's history to [`Replica::recorded`], until told not to.
+    /// Pass each later delta of the store's history to [`Replica::handle_recorded_delta`], until told not to.
     Watch,
     /// End the watch.
     Unwatch,
     /// The lists in force have changed.
     InForce(Version, Arc<Lists>),
     /// Write the lists to the store if it still has the stated version, and pass the delta to
-    /// [`Replica::recorded`].
+    /// [`Replica::handle_recorded_delta`].
     Repair {
         /// Version that the store must still have.
         expected: Version,
@@ -77,16 +77,16 @@
     /// Version in force. Never goes down.
     pub(super) version: Version,
     pub(super) lists: Arc<Lists>,
-    pub(super) log: Log,
+    pub(super) log: DeltaLog,
     /// Largest version that anyone announced, and when it was last heard of.
-    pub(super) highest: (Version, time::Time),
+    pub(super) highest_announced: (Version, time::Time),
     pub(super) starting: Option<Starting>,
     /// Peer that was asked for deltas, and when.
-    pub(super) fetch: Option<(entity::HostId, time::Time)>,
+    pub(super) pending_fetch: Option<(entity::HostId, time::Time)>,
     /// Since when the store is known to be behind, and with which version.
-    pub(super) store_behind: Option<(time::Time, Version)>,
+    pub(super) store_behind_since: Option<(time::Time, Version)>,
     pub(super) watching: bool,
-    pub(super) turn: usize,
+    pub(super) round_robin: usize,
     pub(super) next_announce: time::Time,
     pub(super) next_confirm: time::Time,
     pub(super) next_report: time::Time,
@@ -102,23 +102,23 @@
             view,
             version: Version::NONE,
             lists: Arc::default(),
-            log: Log::default(),
-            highest: (Version::NONE, now),
+            log: DeltaLog::default(),
+            highest_announced: (Version::NONE, now),
             starting: None,
-            fetch: None,
-            store_behind: None,
+            pending_fetch: None,
+            store_behind_since: None,
             watching: false,
-            turn: 0,
+            round_robin: 0,
             next_announce: now,
             next_confirm: now,
             next_report: now,
-            next_store_read: now + STORE_READ,
+            next_store_read: now + STORE_READ_INTERVAL,
             next_snapshot: now,
             confirmations: Confirmations::default(),
         };
         let mut effects = Effects::new();
-        replica.ask_all(now, &mut effects);
-        replica.watch(&mut effects);
+        replica.query_sources(now, &mut effects);
+        replica.update_watch(&mut effects);
         (replica, effects)
     }
 
@@ -143,8 +143,8 @@
     /// Largest version that is known to exist. An edit of a store that has a smaller one waits
     /// until the store has been brought up to date.
     #[must_use]
-    pub fn highest(&self) -> Version {
-        self.highest.0.max(self.version)
+    pub fn highest_version(&self) -> Version {
+        self.highest_announced.0.max(self.version)
     }
 
     /// The announcement to carry on a probe.
@@ -177,30 +177,30 @@
         let mut effects = Effects::new();
         self.view = view;
         self.confirmations.retain(&self.view);
-        self.watch(&mut effects);
-        self.settle(now, &mut effects);
+        self.update_watch(&mut effects);
+        self.finish_start_if_ready(now, &mut effects);
         effects
     }
 
     /// Does what is due.
     pub fn tick(&mut self, now: time::Time) -> Effects {
         let mut effects = Effects::new();
-        if now.since(self.highest.1) >= HIGHEST_KEPT {
-            self.highest = (self.version, now);
+        if now.since(self.highest_announced.1) >= HIGHEST_VERSION_TTL {
+            self.highest_announced = (self.version, now);
         }
         if self
-            .fetch
+            .pending_fetch
             .is_some_and(|(_, sent)| now.since(sent) >= ANSWER_TIMEOUT)
         {
-            self.fetch = None;
+            self.pending_fetch = None;
         }
         self.tick_start(now, &mut effects);
         if self.is_ready() && self.next_announce <= now {
-            self.next_announce = now + ANNOUNCE;
-            self.announce(&mut effects);
+            self.next_announce = now + ANNOUNCE_INTERVAL;
+            self.send_announcements(&mut effects);
         }
         if self.is_ready() && self.next_confirm <= now {
-            self.confirm(now, &mut effects);
+            self.send_confirmation(now, &mut effects);
         }
         if self.view.is_watcher() {
             self.tick_watcher(now, &mut effects);
@@ -209,13 +209,20 @@
     }
 
     /// Takes a message from another host.
-    pub fn receive(&mut self, now: time::Time, from: entity::HostId, message: Message) -> Effects {
+    pub fn handle_message(
+        &mut self,
+        now: time::Time,
+        from: entity::HostId,
+        message: Message,
+    ) -> Effects {
         let mut effects = Effects::new();
         match message {
-            Message::Announce(version) => self.announced(now, from, version, &mut effects),
-            Message::Fetch(version) => self.fetched(now, from, version, &mut effects),
-            Message::Deltas(deltas) => self.deltas(now, Some(from), deltas, &mut effects),
-            Message::Snapshot(snapshot) => self.snapshot(now, Some(from), snapshot, &mut effects),
+            Message::Announce(version) => self.handle_announce(now, from, version, &mut effects),
+            Message::Fetch(version) => self.handle_fetch(now, from, version, &mut effects),
+            Message::Deltas(deltas) => self.apply_deltas(now, Some(from), deltas, &mut effects),
+            Message::Snapshot(snapshot) => {
+                self.apply_snapshot(now, Some(from), snapshot, &mut effects)
+            }
             Message::Domains(reports) => self.confirmations.merge(now, reports),
             Message::AskDomains => {
                 let reports = self.confirmations.reports(now, &self.view);
@@ -226,32 +233,32 @@
     }
 
     /// Takes the answer to [`Effect::ReadStore`].
-    pub fn store(&mut self, now: time::Time, answer: StoreAnswer) -> Effects {
+    pub fn handle_store_answer(&mut self, now: time::Time, answer: StoreAnswer) -> Effects {
         let mut effects = Effects::new();
         match answer {
             StoreAnswer::Unavailable => {}
             StoreAnswer::Same => {
-                self.store_behind = None;
+                self.store_behind_since = None;
                 self.store_answered(now, &mut effects);
             }
             StoreAnswer::Lists(snapshot) if snapshot.version >= self.version => {
-                self.store_behind = None;
-                self.snapshot(now, None, snapshot, &mut effects);
+                self.store_behind_since = None;
+                self.apply_snapshot(now, None, snapshot, &mut effects);
                 self.store_answered(now, &mut effects);
             }
             StoreAnswer::Lists(snapshot) => {
                 self.store_answered(now, &mut effects);
-                self.repair(now, snapshot.version, &mut effects);
+                self.repair_if_due(now, snapshot.version, &mut effects);
             }
         }
         effects
     }
 
     /// Takes a delta that the store has recorded, from the watch or from an edit of this host.
-    pub fn recorded(&mut self, now: time::Time, delta: Delta) -> Effects {
+    pub fn handle_recorded_delta(&mut self, now: time::Time, delta: Delta) -> Effects {
         let mut effects = Effects::new();
-        self.deltas(now, None, vec![delta], &mut effects);
-        if self.version < self.highest() {
+        self.apply_deltas(now, None, vec![delta], &mut effects);
+        if self.version < self.highest_version() {
             effects.push(Effect::ReadStore);
         }
         effects
@@ -259,17 +266,17 @@
 
     fn tick_watcher(&mut self, now: time::Time, effects: &mut Effects) {
         if self.next_store_read <= now {
-            self.next_store_read = now + STORE_READ;
+            self.next_store_read = now + STORE_READ_INTERVAL;
             effects.push(Effect::ReadStore);
         }
         if self.next_report <= now {
-            self.next_report = now + REPORT;
-            self.report(now, effects);
+            self.next_report = now + REPORT_INTERVAL;
+            self.send_reports(now, effects);
         }
     }
 
     /// Starts or ends the watch when the host has become a watcher or is one no more.
-    fn watch(&mut self, effects: &mut Effects) {
+    fn update_watch(&mut self, effects: &mut Effects) {
         let watcher = self.view.is_watcher();
         if watcher != self.watching {
             self.watching = watcher;
@@ -281,13 +288,13 @@
         }
     }
 
-    pub(super) fn heard(&mut self, now: time::Time, version: Version) {
-        if version >= self.highest.0 {
-            self.highest = (version, now);
+    pub(super) fn observe_version(&mut self, now: time::Time, version: Version) {
+        if version >= self.highest_announced.0 {
+            self.highest_announced = (version, now);
         }
     }
 
-    fn deltas(
+    fn apply_deltas(
         &mut self,
         now: time::Time,
         from: Option<entity::HostId>,
@@ -296,7 +303,7 @@
     ) {
         let mut applied = Vec::new();
         for delta in deltas {
-            self.heard(now, delta.to);
+            self.observe_version(now, delta.to);
             if delta.from == self.version && delta.to > self.version {
                 let lists = Arc::make_mut(&mut self.lists);
                 delta.changes.iter().for_each(|change| lists.apply(change));
@@ -306,30 +313,32 @@
             }
         }
         if !applied.is_empty() {
-            self.moved(now, effects);
-            self.push(from, &Message::Deltas(applied), effects);
+            self.version_changed(now, effects);
+            self.forward_to_peers(from, &Message::Deltas(applied), effects);
         }
         match from {
-            Some(from) if self.version < self.highest() => self.ask(now, from, effects),
+            Some(from) if self.version < self.highest_version() => {
+                self.fetch_from(now, from, effects)
+            }
             Some(from) => self.peer_answered(now, from, effects),
             None => {}
         }
     }
 
-    fn snapshot(
+    fn apply_snapshot(
         &mut self,
         now: time::Time,
         from: Option<entity::HostId>,
         snapshot: Snapshot,
         effects: &mut Effects,
     ) {
-        self.heard(now, snapshot.version);
+        self.observe_version(now, snapshot.version);
         if snapshot.version > self.version {
             self.version = snapshot.version;
             self.lists = Arc::new(snapshot.lists);
             self.log.clear();
-            self.moved(now, effects);
-            self.push(from, &Message::Announce(self.version), effects);
+            self.version_changed(now, effects);
+            self.forward_to_peers(from, &Message::Announce(self.version), effects);
         }
         if let Some(from) = from {
             self.peer_answered(now, from, effects);
@@ -337,23 +346,25 @@
     }
 
     /// Follows up a move to a larger version.
-    pub(super) fn moved(&mut self, now: time::Time, effects: &mut Effects) {
-        self.fetch = None;
+    pub(super) fn version_changed(&mut self, now: time::Time, effects: &mut Effects) {
+        self.pending_fetch = None;
         if self.is_ready() {
             effects.push(Effect::InForce(self.version, Arc::clone(&self.lists)));
-            self.confirm(now, effects);
+            self.send_confirmation(now, effects);
         }
     }
 
     /// Writes the lists back once the store has been behind for long enough.
-    fn repair(&mut self, now: time::Time, stored: Version, effects: &mut Effects) {
-        let known = self.store_behind.filter(|(_, version)| *version == stored);
+    fn repair_if_due(&mut self, now: time::Time, stored: Version, effects: &mut Effects) {
+        let known = self
+            .store_behind_since
+            .filter(|(_, version)| *version == stored);
         let since = known.map_or(now, |(since, _)| since);
-        self.store_behind = Some((since, stored));
-        let lasted = now.since(since) >= REPAIR_AFTER;
-        let complete = self.is_ready() && self.version == self.highest();
+        self.store_behind_since = Some((since, stored));
+        let lasted = now.since(since) >= REPAIR_DELAY;
+        let complete = self.is_ready() && self.version == self.highest_version();
         if lasted && complete && self.view.is_first_watcher() {
-            self.store_behind = None;
+            self.store_behind_since = None;
             effects.push(Effect::Repair {
                 expected: stored,
                 delta: Delta::after(self.version, Vec::new()),
--- a/crates/core/src/lists/replica/view.rs
+++ b/crates/core/src/lists/replica/view.rs
@@ -7,7 +7,7 @@
 use crate::entity;
 
 /// Watchers of the store in a domain.
-const WATCHERS: usize = 2;
+const WATCHERS_PER_DOMAIN: usize = 2;
 
 /// Live hosts by failure domain, as one host sees them.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -67,7 +67,7 @@
     #[must_use]
     pub fn watchers(&self, domain: entity::DomainId) -> &[entity::HostId] {
         let hosts = self.hosts(domain);
-        &hosts[..hosts.len().min(WATCHERS)]
+        &hosts[..hosts.len().min(WATCHERS_PER_DOMAIN)]
     }
 
     /// Whether this host watches the store.
--- a/crates/core/tests/lists_replica.rs
+++ b/crates/core/tests/lists_replica.rs
@@ -164,7 +164,7 @@
     /// An edit through a host, which refuses while the store is behind what it knows of.
     fn edit(&mut self, host: entity::HostId, weight: u32) {
         let replica = &self.replicas[&host];
-        let current = replica.is_ready() && self.store.version >= replica.highest();
+        let current = replica.is_ready() && self.store.version >= replica.highest_version();
         if !self.reaches_store(host) || !current {
             return;
         }
@@ -175,7 +175,11 @@
         let delta = Delta::after(self.store.version, vec![change]);
         self.record(delta.clone(), lists);
         let now = self.now;
-        let effects = self.replicas.get_mut(&host).unwrap().recorded(now, delta);
+        let effects = self
+            .replicas
+            .get_mut(&host)
+            .unwrap()
+            .handle_recorded_delta(now, delta);
         self.run(host, effects);
     }
 
@@ -201,7 +205,7 @@
         if self.connected(flight.from, flight.to) {
             let now = self.now;
             let replica = self.replicas.get_mut(&flight.to).unwrap();
-            let effects = replica.receive(now, flight.from, flight.message);
+            let effects = replica.handle_message(now, flight.from, flight.message);
             self.run(flight.to, effects);
         }
     }
@@ -210,12 +214,20 @@
         let now = self.now;
         if !self.reads.is_empty() {
             let (host, answer) = self.reads.swap_remove(index % self.reads.len());
-            let effects = self.replicas.get_mut(&host).unwrap().store(now, answer);
+            let effects = self
+                .replicas
+                .get_mut(&host)
+                .unwrap()
+                .handle_store_answer(now, answer);
             self.run(host, effects);
         }
         if !self.events.is_empty() {
             let (host, delta) = self.events.swap_remove(index % self.events.len());
-            let effects = self.replicas.get_mut(&host).unwrap().recorded(now, delta);
+            let effects = self
+                .replicas
+                .get_mut(&host)
+                .unwrap()
+                .handle_recorded_delta(now, delta);
             self.run(host, effects);
         }
     }
@@ -329,11 +341,11 @@
         replica::View::new(only, domain_of(only), []),
     );
     for s in 0..30 {
-        replica.store(time::Time::from_secs(s), StoreAnswer::Unavailable);
+        replica.handle_store_answer(time::Time::from_secs(s), StoreAnswer::Unavailable);
         replica.tick(time::Time::from_secs(s));
         assert!(!replica.is_ready());
     }
-    replica.store(
+    replica.handle_store_answer(
         time::Time::from_secs(31),
         StoreAnswer::Lists(Snapshot::default()),
     );
@@ -360,9 +372,9 @@
         .iter()
         .map(|s| (s.reach, s.hosts, s.confirmed))
         .collect();
-    let reporting = (replica::Reach::Reporting, 3, 3);
+    let reporting = (replica::DomainReach::Reporting, 3, 3);
     assert_eq!(seen[..2], [reporting, reporting]);
-    assert_eq!(seen[2].0, replica::Reach::Unreachable);
+    assert_eq!(seen[2].0, replica::DomainReach::Unreachable);
     fleet.heal(Duration::from_secs(30));
     let status = fleet.replicas[&host(0)].status(fleet.now, revision);
     assert!(status.iter().all(|s| s.confirmed == 3), "{status:?}");
--- a/crates/measure/src/lists/distribution.rs
+++ b/crates/measure/src/lists/distribution.rs
@@ -177,15 +177,15 @@
                 self.agenda.add(now + TICK, Event::Tick(host));
                 self.with(now, host, |replica| replica.tick(time))
             }
-            Event::Message(from, to, message) => {
-                self.with(now, to, |replica| replica.receive(time, from, message))
-            }
-            Event::Recorded(host, delta) => {
-                self.with(now, host, |replica| replica.recorded(time, delta))
-            }
-            Event::Answer(host, answer) => {
-                self.with(now, host, |replica| replica.store(time, answer))
-            }
+            Event::Message(from, to, message) => self.with(now, to, |replica| {
+                replica.handle_message(time, from, message)
+            }),
+            Event::Recorded(host, delta) => self.with(now, host, |replica| {
+                replica.handle_recorded_delta(time, delta)
+            }),
+            Event::Answer(host, answer) => self.with(now, host, |replica| {
+                replica.handle_store_answer(time, answer)
+            }),
             Event::Change => self.change(now),
             Event::Restart => {
                 let host = self.rng.random_range(0..self.fleet.hosts);
--- a/crates/runtime/src/control/replica.rs
+++ b/crates/runtime/src/control/replica.rs
@@ -106,7 +106,7 @@
         from: entity::HostId,
         message: lists::message::Message,
     ) {
-        self.with_replica(|replica| replica.receive(now, from, message));
+        self.with_replica(|replica| replica.handle_message(now, from, message));
     }
 
     /// What the domains have in force of a revision.
--- a/crates/runtime/src/control/state.rs
+++ b/crates/runtime/src/control/state.rs
@@ -175,10 +175,17 @@
             Command::Answer { from, answer } => self.answer(now, from, answer),
             Command::HostList(list) => self.host_list(now, &list),
             Command::ConnectStore(orders) => self.connect_store(orders),
-            Command::StoreAnswer(answer) => self.with_replica(|replica| replica.store(now, answer)),
-            Command::Recorded(delta) => self.with_replica(|replica| replica.recorded(now, delta)),
+            Command::StoreAnswer(answer) => {
+                self.with_replica(|replica| replica.handle_store_answer(now, answer))
+            }
+            Command::Recorded(delta) => {
+                self.with_replica(|replica| replica.handle_recorded_delta(now, delta))
+            }
             Command::HighestVersion(tx) => {
-                let highest = self.replica.as_ref().map(lists::replica::Replica::highest);
+                let highest = self
+                    .replica
+                    .as_ref()
+                    .map(lists::replica::Replica::highest_version);
                 let _ = tx.send(highest.unwrap_or(lists::Version::NONE));
             }
             Command::Catalog(tx) => {
