--- a/crates/gateway/src/control/warm.rs
+++ b/crates/gateway/src/control/cache_recovery.rs
@@ -18,34 +18,34 @@
 use crate::{adapter, http_client, shared};
 
 /// Time that the other hosts have to tell what they know.
-const WAIT_FOR_HOSTS: Duration = Duration::from_millis(200);
+const PEER_WAIT: Duration = Duration::from_millis(200);
 
 /// Time for which another host has been up that knows what engines hold.
-const KNOWS_CACHES: Duration = Duration::from_secs(4);
+const INFORMED_PEER_UPTIME: Duration = Duration::from_secs(4);
 
 /// Time in which an engine answers.
-const TIMEOUT: Duration = Duration::from_millis(800);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Time between two looks at whether the host knows its endpoints.
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Asks the engines that fall to this host, unless other hosts told what they hold.
-pub(super) async fn learn<D, S>(cx: Rc<Context<D, S>>)
+pub(super) async fn recover<D, S>(cx: Rc<Context<D, S>>)
 where
     D: adapter::Dialect,
     S: adapter::Store,
 {
-    while !cx.shared.view().is_complete() {
-        tokio::time::sleep(POLL).await;
+    while !cx.shared.view().can_serve() {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    tokio::time::sleep(WAIT_FOR_HOSTS).await;
-    if cx.oldest_peer.get() >= KNOWS_CACHES {
+    tokio::time::sleep(PEER_WAIT).await;
+    if cx.max_peer_uptime.get() >= INFORMED_PEER_UPTIME {
         return;
     }
     let view = cx.shared.view().clone();
     for endpoint in engines(&view) {
-        if falls_to_me(&cx, &endpoint) {
-            tokio::task::spawn_local(ask(cx.clone(), endpoint));
+        if is_assigned_here(&cx, &endpoint) {
+            tokio::task::spawn_local(query_engine(cx.clone(), endpoint));
         }
     }
 }
@@ -64,18 +64,18 @@
 }
 
 /// Whether this host, of all hosts, asks an endpoint.
-fn falls_to_me<D, S>(cx: &Context<D, S>, endpoint: &directory::Endpoint) -> bool {
+fn is_assigned_here<D, S>(cx: &Context<D, S>, endpoint: &directory::Endpoint) -> bool {
     let state = cx.state.borrow();
     let key = endpoint.identity.hash();
     let score = |name: &str| {
         let hash = xxhash_rust::xxh3::xxh3_64(name.as_bytes());
         routing::rendezvous::score(key, hash as u32)
     };
-    let own = score(&state.me);
+    let own = score(&state.name);
     state.hosts.hosts().all(|(name, _)| score(name) <= own)
 }
 
-async fn ask<D, S>(cx: Rc<Context<D, S>>, endpoint: Arc<directory::Endpoint>)
+async fn query_engine<D, S>(cx: Rc<Context<D, S>>, endpoint: Arc<directory::Endpoint>)
 where
     D: adapter::Dialect,
     S: adapter::Store,
@@ -85,7 +85,7 @@
         .header(header::HOST, endpoint.address.to_string())
         .body(Full::new(Bytes::new()));
     let Ok(req) = req else { return };
-    let answer = match client.call(req, TIMEOUT).await {
+    let answer = match client.call(req, QUERY_TIMEOUT).await {
         Ok(answer) if answer.status == StatusCode::OK => answer,
         Ok(answer) => {
             let cause = format!("status {}", answer.status.as_u16());
@@ -100,16 +100,17 @@
             return cx.events.cache_unknown(&endpoint.identity, &cause);
         }
     };
-    let holdings: Vec<_> = parts
+    let cached_parts: Vec<_> = parts
         .into_iter()
         .map(|part| peer::CachedPart {
             part,
             endpoint: endpoint.identity.hash(),
         })
         .collect();
-    cx.events.cache_learned(&endpoint.identity, holdings.len());
-    links::take_holdings(&cx, &holdings);
-    for holding in holdings {
-        cx.shared.own_holdings.push(holding);
+    cx.events
+        .cache_learned(&endpoint.identity, cached_parts.len());
+    links::apply_cached_parts(&cx, &cached_parts);
+    for part in cached_parts {
+        cx.shared.local_cached_parts.push(part);
     }
 }
--- a/crates/gateway/src/control/lease.rs
+++ b/crates/gateway/src/control/host_registry.rs
@@ -13,32 +13,32 @@
 use crate::control::{Context, HOSTS_PREFIX, sync};
 
 /// Renewals within the time of one lease.
-const RENEWALS: u32 = 3;
+const RENEWALS_PER_TTL: u32 = 3;
 
 /// Time that a host that has stopped takes to remove its entry.
-const END_TIMEOUT: Duration = Duration::from_millis(150);
+const REVOKE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Pause between two watches of the hosts: when many start together, one answer carries them.
-const PAUSE: Duration = Duration::from_millis(400);
+const WATCH_DELAY: Duration = Duration::from_millis(400);
 
 /// Time between two reads of the hosts by one that others feed.
-const REFRESH: Duration = Duration::from_secs(5);
+const RELAYED_REFRESH_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Keeps the entry of this host, under a lease that ends if the host falls silent.
-pub(super) async fn keep<D, S>(cx: Rc<Context<D, S>>)
+pub(super) async fn keep_registered<D, S>(cx: Rc<Context<D, S>>)
 where
     D: adapter::Dialect,
     S: adapter::Store,
 {
     loop {
-        if let Err(e) = keep_once(&cx).await {
-            sync::failed(&cx, "own host entry", &e).await;
+        if let Err(e) = register_once(&cx).await {
+            sync::handle_store_failure(&cx, "own host entry", &e).await;
         }
     }
 }
 
 /// Writes the entry and renews its lease until that ends or a call fails.
-async fn keep_once<D, S>(cx: &Context<D, S>) -> Result<(), key_value::Error>
+async fn register_once<D, S>(cx: &Context<D, S>) -> Result<(), key_value::Error>
 where
     D: adapter::Dialect,
     S: adapter::Store,
@@ -54,9 +54,9 @@
     let key = format!("{HOSTS_PREFIX}{}", cx.settings.host.name);
     cx.store.put(&key, &value, lease).await?;
     loop {
-        tokio::time::sleep(ttl / RENEWALS).await;
+        tokio::time::sleep(ttl / RENEWALS_PER_TTL).await;
         let holds = cx.store.keep_alive(lease).await?;
-        cx.note_answer();
+        cx.record_store_response();
         if !holds {
             cx.events.lease_ended(lease);
             return Ok(());
@@ -65,42 +65,42 @@
 }
 
 /// Removes the entry of a host that has stopped, so that others need not wait for its lease.
-pub(super) async fn end<D, S>(cx: &Context<D, S>)
+pub(super) async fn deregister<D, S>(cx: &Context<D, S>)
 where
     D: adapter::Dialect,
     S: adapter::Store,
 {
     let Some(lease) = cx.lease.take() else { return };
     // The lease ends by itself if this call is lost.
-    drop(tokio::time::timeout(END_TIMEOUT, cx.store.revoke(lease)).await);
+    drop(tokio::time::timeout(REVOKE_TIMEOUT, cx.store.revoke(lease)).await);
 }
 
 /// Follows the entries of the hosts.
-pub(super) async fn follow_hosts<D, S>(cx: Rc<Context<D, S>>)
+pub(super) async fn sync_hosts<D, S>(cx: Rc<Context<D, S>>)
 where
     D: adapter::Dialect,
     S: adapter::Store,
 {
     loop {
-        sync::until_store_returns(&cx, HOSTS_PREFIX, follow_hosts_once(&cx)).await;
+        sync::run_until_store_recovers(&cx, HOSTS_PREFIX, sync_hosts_once(&cx)).await;
     }
 }
 
-async fn follow_hosts_once<D, S>(cx: &Context<D, S>) -> Result<(), key_value::Error>
+async fn sync_hosts_once<D, S>(cx: &Context<D, S>) -> Result<(), key_value::Error>
 where
     D: adapter::Dialect,
     S: adapter::Store,
 {
     loop {
         // A host that others feed only has to know its relays, which change seldom.
-        let consistency = match cx.is_fed() {
+        let consistency = match cx.has_live_relay() {
             true => adapter::Consistency::Stale,
             false => adapter::Consistency::Linearizable,
         };
         let found = cx.store.range(HOSTS_PREFIX, consistency).await?;
         let mut after = found.revision;
         for entry in &found.entries {
-            set_host(cx, entry);
+            apply_host_entry(cx, entry);
         }
         let names = found.entries.iter().filter_map(|e| host_name(&e.key));
         let listed: BTreeSet<_> = names.collect();
@@ -110,33 +110,36 @@
             .retain_listed(&listed, clock::now());
         cx.publish();
         if consistency == adapter::Consistency::Stale {
-            tokio::time::sleep(REFRESH).await;
+            tokio::time::sleep(RELAYED_REFRESH_INTERVAL).await;
             continue;
         }
         loop {
-            let watched = cx.store.watch(HOSTS_PREFIX, after, sync::WATCH).await?;
+            let watched = cx
+                .store
+                .watch(HOSTS_PREFIX, after, sync::WATCH_TIMEOUT)
+                .await?;
             let adapter::WatchResponse::Changes { revision, changes } = watched else {
                 cx.events.history_gone(HOSTS_PREFIX, after);
                 break;
             };
             for change in &changes {
-                apply(cx, change);
+                apply_change(cx, change);
             }
             if !changes.is_empty() {
                 cx.publish();
             }
             after = after.max(revision);
-            if cx.is_fed() {
+            if cx.has_live_relay() {
                 break;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(WATCH_DELAY).await;
         }
     }
 }
 
-fn apply<D, S>(cx: &Context<D, S>, change: &key_value::Change) {
+fn apply_change<D, S>(cx: &Context<D, S>, change: &key_value::Change) {
     match change {
-        key_value::Change::Put(entry) => set_host(cx, entry),
+        key_value::Change::Put(entry) => apply_host_entry(cx, entry),
         key_value::Change::Deleted { key, .. } => {
             let Some(name) = host_name(key) else { return };
             cx.state.borrow_mut().hosts.remove(&name, clock::now());
@@ -145,15 +148,15 @@
     }
 }
 
-fn set_host<D, S>(cx: &Context<D, S>, entry: &key_value::Entry) {
+fn apply_host_entry<D, S>(cx: &Context<D, S>, entry: &key_value::Entry) {
     let Some(name) = host_name(&entry.key) else {
         return;
     };
     match serde_json::from_slice::<HostEntry>(&entry.value) {
         Ok(host) => {
             let links = host.links;
-            let is_news = cx.state.borrow_mut().hosts.put(name.clone(), host);
-            if is_news {
+            let is_new = cx.state.borrow_mut().hosts.put(name.clone(), host);
+            if is_new {
                 cx.events.host_known(&name, links);
             }
         }
--- a/crates/gateway/src/control/links/receive.rs
+++ b/crates/gateway/src/control/links/incoming.rs
@@ -9,7 +9,7 @@
 use pistachiochute_messages::{codec, peer};
 use pistachiochute_runtime::clock;
 
-use crate::control::links::take_holdings;
+use crate::control::links::apply_cached_parts;
 use crate::control::state::HostEntry;
 use crate::control::{Context, sync};
 use crate::sockets;
@@ -78,10 +78,10 @@
                     _,
                 ) => {
                     let domain = domain.to_string();
-                    meet(cx, &host, HostEntry { links, domain }, up_ms);
+                    register_peer(cx, &host, HostEntry { links, domain }, up_ms);
                     sender = Some(host);
                 }
-                (message, Some(sender)) => handle(cx, sender, message),
+                (message, Some(sender)) => handle_message(cx, sender, message),
                 (_, None) => eyre::bail!("message before the name of the sender"),
             }
         }
@@ -90,22 +90,22 @@
 }
 
 /// Takes in that a host made a link to this one.
-fn meet<D, S>(cx: &Context<D, S>, host: &Arc<str>, entry: HostEntry, up_ms: u32) {
+fn register_peer<D, S>(cx: &Context<D, S>, host: &Arc<str>, entry: HostEntry, up_ms: u32) {
     let up = Duration::from_millis(u64::from(up_ms));
-    cx.oldest_peer.set(cx.oldest_peer.get().max(up));
+    cx.max_peer_uptime.set(cx.max_peer_uptime.get().max(up));
     let links = entry.links;
     let now = clock::now();
-    let is_news = cx
+    let is_new = cx
         .state
         .borrow_mut()
         .hosts
         .discover(host.clone(), entry, now);
-    if is_news {
+    if is_new {
         cx.events.host_known(host, links);
     }
 }
 
-fn handle<D, S>(cx: &Rc<Context<D, S>>, sender: &Arc<str>, message: peer::Message)
+fn handle_message<D, S>(cx: &Rc<Context<D, S>>, sender: &Arc<str>, message: peer::Message)
 where
     D: adapter::Dialect,
     S: adapter::Store,
@@ -120,28 +120,28 @@
             let now = clock::now();
             let before = |ms| now - Duration::from_millis(u64::from(ms));
             let mut state = cx.state.borrow_mut();
-            state.hear(sender, known, store, now);
+            state.record_status(sender, known, store, now);
             if let Some(loads) = loads {
-                state.digests.set_own_load(sender, loads);
+                state.load_reports.set_own_load(sender, loads);
             }
             state.directory.hear(directory::Witness {
                 steady_since: before(store.steady_ms),
                 answered: before(store.answered_ms),
             });
-            if known.catalog == state.known().catalog {
-                cx.shared.confirm(before(store.catalog_age_ms));
+            if known.catalog == state.state_version().catalog {
+                cx.shared.confirm_catalog(before(store.catalog_age_ms));
             }
         }
         peer::Message::Carried(loads) => {
             cx.state
                 .borrow_mut()
-                .digests
+                .load_reports
                 .set_relayed_load(sender, loads);
         }
-        peer::Message::Holdings(holdings) => {
-            take_holdings(cx, &holdings);
+        peer::Message::Holdings(parts) => {
+            apply_cached_parts(cx, &parts);
         }
-        peer::Message::Want(known) => answer(cx, sender, known),
+        peer::Message::Want(known) => send_updates(cx, sender, known),
         peer::Message::Catalog(content) => {
             cx.offer_catalog(*content, events::Source::Host(sender.clone()));
         }
@@ -166,18 +166,18 @@
 }
 
 /// Sends a host what it lacks.
-fn answer<D, S>(cx: &Rc<Context<D, S>>, host: &Arc<str>, has: peer::StateVersion) {
+fn send_updates<D, S>(cx: &Rc<Context<D, S>>, host: &Arc<str>, theirs: peer::StateVersion) {
     let state = cx.state.borrow();
     let Some(outbox) = state.outboxes.get(host) else {
         return;
     };
     let mut messages: Vec<peer::Message> = Vec::new();
     if let Some(catalog) = state.catalog.get()
-        && Some(catalog.version()) > has.catalog
+        && Some(catalog.version()) > theirs.catalog
     {
         messages.push(peer::Message::Catalog(Box::new(catalog.content().clone())));
     }
-    let newer = state.directory.newer_than(has.endpoints);
+    let newer = state.directory.newer_than(theirs.endpoints);
     let records: Vec<_> = newer
         .map(|(key, record)| peer::EndpointRecord {
             key: key.clone(),
--- a/crates/gateway/src/control/links/mod.rs
+++ b/crates/gateway/src/control/links/mod.rs
@@ -1,11 +1,11 @@
 //! Links to other hosts: each host sends what it knows and does on a stream of its own.
 //!
-//! [`due`] says what has to be sent, [`receive`] takes in what others send, and [`holdings`] is about
+//! [`outgoing`] says what has to be sent, [`incoming`] takes in what others send, and [`cached_parts`] is about
 //! what engines hold in their caches.
 
-mod due;
-mod holdings;
-mod receive;
+mod cached_parts;
+mod incoming;
+mod outgoing;
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -24,25 +24,25 @@
 use crate::control::Context;
 use crate::sockets;
 
-use due::{Asking, Sent};
+use outgoing::{CatchUp, SentState};
 
-pub(super) use holdings::{take_holdings, tell_holdings};
-pub(super) use receive::accept;
+pub(super) use cached_parts::{apply_cached_parts, broadcast_cached_parts};
+pub(super) use incoming::accept;
 
 /// Time to make a connection.
-const CONNECT: Duration = Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Time between two looks at what has to be sent.
 const SEND_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Pause before a lost link is made again.
-const RECONNECT: Duration = Duration::from_millis(500);
+const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
 /// Messages that may wait for one host.
-const OUTBOX: usize = 16;
+const OUTBOX_CAPACITY: usize = 16;
 
 /// Keeps a link to every host that this one talks to.
-pub(super) async fn keep<D, S>(cx: Rc<Context<D, S>>)
+pub(super) async fn maintain_links<D, S>(cx: Rc<Context<D, S>>)
 where
     D: adapter::Dialect,
     S: adapter::Store,
@@ -50,17 +50,17 @@
     let mut links: HashMap<Arc<str>, (net::SocketAddr, tokio::task::JoinHandle<()>)> =
         HashMap::new();
     loop {
-        let wanted = wanted(&cx);
+        let targets = link_targets(&cx);
         links.retain(|name, (address, task)| {
-            let keep = wanted.get(name) == Some(address);
+            let keep = targets.get(name) == Some(address);
             if !keep {
                 task.abort();
             }
             keep
         });
-        for (name, address) in wanted {
+        for (name, address) in targets {
             links.entry(name.clone()).or_insert_with(|| {
-                let task = tokio::task::spawn_local(link(cx.clone(), name, address));
+                let task = tokio::task::spawn_local(maintain_link(cx.clone(), name, address));
                 (address, task)
             });
         }
@@ -69,33 +69,33 @@
 }
 
 /// Hosts that this one talks to, with the addresses of their links.
-fn wanted<D, S>(cx: &Context<D, S>) -> HashMap<Arc<str>, net::SocketAddr> {
+fn link_targets<D, S>(cx: &Context<D, S>) -> HashMap<Arc<str>, net::SocketAddr> {
     let state = cx.state.borrow();
-    let links = state.spread.links.iter();
+    let links = state.overlay.links.iter();
     links
         .filter_map(|name| Some((name.clone(), state.hosts.get(name)?.links)))
         .collect()
 }
 
 /// Keeps one link until it is aborted.
-async fn link<D, S>(cx: Rc<Context<D, S>>, name: Arc<str>, address: net::SocketAddr)
+async fn maintain_link<D, S>(cx: Rc<Context<D, S>>, name: Arc<str>, address: net::SocketAddr)
 where
     D: adapter::Dialect,
     S: adapter::Store,
 {
     let was_up = Cell::new(false);
     loop {
-        if let Err(e) = link_once(&cx, &name, address, &was_up).await
+        if let Err(e) = run_link(&cx, &name, address, &was_up).await
             && was_up.replace(false)
         {
             cx.events.link_lost(&name, &e);
         }
-        let spread = rand::random_range(0.8..1.6);
-        tokio::time::sleep(RECONNECT.mul_f64(spread)).await;
+        let jitter = rand::random_range(0.8..1.6);
+        tokio::time::sleep(RECONNECT_DELAY.mul_f64(jitter)).await;
     }
 }
 
-async fn link_once<D, S>(
+async fn run_link<D, S>(
     cx: &Rc<Context<D, S>>,
     name: &Arc<str>,
     address: net::SocketAddr,
@@ -105,26 +105,26 @@
     D: adapter::Dialect,
     S: adapter::Store,
 {
-    let stream = sockets::connect(address, CONNECT)
+    let stream = sockets::connect(address, CONNECT_TIMEOUT)
         .await
         .wrap_err("connect")?;
     let (mut requests, connection) = h2::client::handshake(stream).await.wrap_err("handshake")?;
     let driver = tokio::task::spawn_local(async { drop(connection.await) });
     let req = http::Request::post("http://fleet/link").body(())?;
     let (answer, mut tx) = requests.send_request(req, false).wrap_err("stream")?;
-    let up = clock::now().since(cx.started).as_millis();
+    let uptime = clock::now().since(cx.started).as_millis();
     let hello = peer::Message::Hello {
-        host: cx.state.borrow().me.clone(),
+        host: cx.state.borrow().name.clone(),
         links: cx.settings.listen.links,
         domain: cx.settings.host.domain.as_str().into(),
-        up_ms: u32::try_from(up).unwrap_or(u32::MAX),
+        up_ms: u32::try_from(uptime).unwrap_or(u32::MAX),
     };
     send(&mut tx, &hello)?;
     answer.await.wrap_err("answer")?;
     if !was_up.replace(true) {
         cx.events.link_up(name);
     }
-    let result = send_status(cx, name, &mut tx).await;
+    let result = send_messages(cx, name, &mut tx).await;
     driver.abort();
     result
 }
@@ -135,7 +135,7 @@
 }
 
 /// Sends status and answers on a link until it is lost.
-async fn send_status<D, S>(
+async fn send_messages<D, S>(
     cx: &Rc<Context<D, S>>,
     name: &Arc<str>,
     tx: &mut h2::SendStream<Bytes>,
@@ -144,17 +144,17 @@
     D: adapter::Dialect,
     S: adapter::Store,
 {
-    let (outbox_tx, mut outbox) = mpsc::channel(OUTBOX);
+    let (outbox_tx, mut outbox) = mpsc::channel(OUTBOX_CAPACITY);
     cx.state
         .borrow_mut()
         .outboxes
         .insert(name.clone(), outbox_tx);
-    let holdings = cx.state.borrow().holdings(clock::now());
-    if !holdings.is_empty() {
-        send(tx, &peer::Message::Holdings(holdings))?;
+    let parts = cx.state.borrow().cached_parts(clock::now());
+    if !parts.is_empty() {
+        send(tx, &peer::Message::Holdings(parts))?;
     }
-    let mut sent = Sent::default();
-    let mut asking = Asking::default();
+    let mut sent = SentState::default();
+    let mut catch_up = CatchUp::default();
     let mut ticks = tokio::time::interval(SEND_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -166,13 +166,13 @@
             }
             _ = ticks.tick() => {}
         }
-        if let Some(status) = sent.next(cx) {
+        if let Some(status) = sent.due_status(cx) {
             send(tx, &status)?;
         }
-        if let Some(carried) = sent.next_carried(cx, name) {
-            send(tx, &carried)?;
+        if let Some(loads) = sent.due_relayed_loads(cx, name) {
+            send(tx, &loads)?;
         }
-        if let Some(want) = asking.next(cx, name) {
+        if let Some(want) = catch_up.due_request(cx, name) {
             send(tx, &peer::Message::Want(want))?;
         }
         // A stream that was reset shows it here, whether or not there was something to send.
--- a/crates/gateway/src/control/links/due.rs
+++ b/crates/gateway/src/control/links/outgoing.rs
@@ -13,46 +13,46 @@
 use crate::control::Context;
 
 /// Longest time between two messages on a link.
-const HEARTBEAT: Duration = Duration::from_millis(1_000);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Time for which a host may know more about endpoints before it is asked: the store usually
 /// tells everyone meanwhile.
-const ASK_AFTER: Duration = Duration::from_millis(600);
+const ENDPOINTS_REQUEST_DELAY: Duration = Duration::from_millis(600);
 
 /// Time for which a host may know a newer catalog before it is asked.
-const ASK_CATALOG_AFTER: Duration = Duration::from_millis(150);
+const CATALOG_REQUEST_DELAY: Duration = Duration::from_millis(150);
 
 /// Shortest time between two questions to the same host.
-const ASK_PAUSE: Duration = Duration::from_millis(300);
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
 /// What was last sent on a link.
 #[derive(Default)]
-pub(super) struct Sent {
+pub(super) struct SentState {
     known: Option<peer::StateVersion>,
     loads: Arc<Vec<load::EndpointLoad>>,
-    at: time::Time,
-    carried: Vec<load::EndpointLoad>,
+    sent_at: time::Time,
+    last_relayed: Vec<load::EndpointLoad>,
 }
 
-impl Sent {
+impl SentState {
     /// The status, if it is due.
-    pub(super) fn next<D, S>(&mut self, cx: &Context<D, S>) -> Option<peer::Message>
+    pub(super) fn due_status<D, S>(&mut self, cx: &Context<D, S>) -> Option<peer::Message>
     where
         D: adapter::Dialect,
         S: adapter::Store,
     {
         let now = clock::now();
-        let known = cx.known();
-        let loads = cx.shared.own_loads();
+        let known = cx.state_version();
+        let loads = cx.shared.local_loads();
         let same_loads = self.known.is_some() && self.loads == loads;
-        let is_due = now.since(self.at) >= HEARTBEAT;
+        let is_due = now.since(self.sent_at) >= HEARTBEAT_INTERVAL;
         if self.known == Some(known) && same_loads && !is_due {
             return None;
         }
         let changed = (!same_loads).then(|| Vec::clone(&loads));
         self.known = Some(known);
         self.loads = loads;
-        self.at = now;
+        self.sent_at = now;
         Some(peer::Message::Status {
             known,
             store: cx.store_calls(now),
@@ -61,7 +61,7 @@
     }
 
     /// The work of others that this host carries to another one, if it changed.
-    pub(super) fn next_carried<D, S>(
+    pub(super) fn due_relayed_loads<D, S>(
         &mut self,
         cx: &Context<D, S>,
         name: &str,
@@ -71,57 +71,57 @@
         S: adapter::Store,
     {
         let state = cx.state.borrow();
-        let spread = &state.spread;
-        if spread.role != Role::Relay || spread.is_own_relay(name) {
+        let overlay = &state.overlay;
+        if overlay.role != Role::Relay || overlay.is_own_relay(name) {
             return None;
         }
-        let own = cx.shared.own_loads();
-        let carried = match spread.is_foreign_relay(name) {
-            true => state.digests.domain_total(spread, &own),
+        let own = cx.shared.local_loads();
+        let loads = match overlay.is_foreign_relay(name) {
+            true => state.load_reports.domain_total(overlay, &own),
             false => {
-                let others = cx.shared.other_loads();
-                state.digests.total_except(name, &others, &own)
+                let others = cx.shared.remote_loads();
+                state.load_reports.total_except(name, &others, &own)
             }
         };
-        if carried == self.carried {
+        if loads == self.last_relayed {
             return None;
         }
-        self.carried.clone_from(&carried);
-        Some(peer::Message::Carried(carried))
+        self.last_relayed.clone_from(&loads);
+        Some(peer::Message::Carried(loads))
     }
 }
 
 /// Since when another host has known more.
 #[derive(Default)]
-pub(super) struct Asking {
+pub(super) struct CatchUp {
     behind_since: Option<time::Time>,
-    asked: time::Time,
+    last_request: time::Time,
 }
 
-impl Asking {
+impl CatchUp {
     /// What to ask the host for, if it has known more for long enough.
-    pub(super) fn next<D, S>(
+    pub(super) fn due_request<D, S>(
         &mut self,
         cx: &Context<D, S>,
         name: &Arc<str>,
     ) -> Option<peer::StateVersion> {
         let now = clock::now();
         let state = cx.state.borrow();
-        let known = state.peers.get(name)?.known;
-        let Some(want) = state.want(known) else {
+        let known = state.peers.get(name)?.version;
+        let Some(want) = state.catch_up_request(known) else {
             self.behind_since = None;
             return None;
         };
         let since = *self.behind_since.get_or_insert(now);
-        let patience = match known.catalog > want.catalog {
-            _ if state.is_fed(now) => Duration::ZERO,
-            true => ASK_CATALOG_AFTER,
-            false => ASK_AFTER,
+        let delay = match known.catalog > want.catalog {
+            _ if state.has_live_relay(now) => Duration::ZERO,
+            true => CATALOG_REQUEST_DELAY,
+            false => ENDPOINTS_REQUEST_DELAY,
         };
-        if now.since(since) < patience || now.since(self.asked) < ASK_PAUSE {
+        if now.since(since) < delay || now.since(self.last_request) < MIN_REQUEST_INTERVAL {
             return None;
         }
-        self.asked = now;
+        self.last_request = now;
         Some(want)
     }
 }
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,15 +1,15 @@
 //! What the host believes, and where it learns it.
 //!
 //! One thread keeps the catalog, the endpoints and the other hosts. [`sync`] follows the store,
-//! [`lease`] keeps the entry of this host in it, and [`links`] exchanges news with other hosts, so
-//! that a host which the store turns away learns from those that it answers. [`warm`] asks the
+//! [`host_registry`] keeps the entry of this host in it, and [`links`] exchanges news with other hosts, so
+//! that a host which the store turns away learns from those that it answers. [`cache_recovery`] asks the
 //! engines what they hold after the whole fleet was lost.
 
-mod lease;
+mod cache_recovery;
+mod host_registry;
 mod links;
 mod state;
 mod sync;
-mod warm;
 
 use std::cell::{Cell, RefCell};
 use std::net;
@@ -31,7 +31,7 @@
 const HOSTS_PREFIX: &str = "hosts/";
 
 /// Time between two looks at what waits for its time.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What every task of the control thread uses.
 struct Context<D, S> {
@@ -43,23 +43,23 @@
     metrics: metrics::Metrics,
     state: RefCell<State>,
     /// Whether the store answered the last call.
-    store_answers: Cell<bool>,
+    store_available: Cell<bool>,
     /// Wakes the tasks that wait for the store to come back.
-    store_back: Notify,
+    store_recovered: Notify,
     /// Asks for a look at whether the store answers.
     store_suspect: Notify,
     /// Since when every call to the store was answered.
     steady_since: Cell<time::Time>,
     /// When the store answered last.
-    answered: Cell<time::Time>,
+    last_store_response: Cell<time::Time>,
     /// Calls in a row that failed while the store was taken to answer.
-    failures: Cell<u32>,
+    store_failures: Cell<u32>,
     /// Lease of this host's entry.
     lease: Cell<Option<key_value::LeaseId>>,
     /// When this host started.
     started: time::Time,
     /// How long the host had been up that had been up longest when its link was made.
-    oldest_peer: Cell<Duration>,
+    max_peer_uptime: Cell<Duration>,
 }
 
 /// Runs the control thread until the host has stopped.
@@ -85,27 +85,27 @@
         shared,
         events,
         metrics,
-        store_answers: Cell::new(true),
-        store_back: Notify::new(),
+        store_available: Cell::new(true),
+        store_recovered: Notify::new(),
         store_suspect: Notify::new(),
         steady_since: Cell::new(clock::now()),
-        answered: Cell::new(time::Time::ZERO),
-        failures: Cell::new(0),
+        last_store_response: Cell::new(time::Time::ZERO),
+        store_failures: Cell::new(0),
         lease: Cell::new(None),
         started: clock::now(),
-        oldest_peer: Cell::new(Duration::ZERO),
+        max_peer_uptime: Cell::new(Duration::ZERO),
     });
-    tokio::task::spawn_local(sync::follow_catalog(cx.clone()));
-    tokio::task::spawn_local(sync::follow_endpoints(cx.clone()));
-    tokio::task::spawn_local(lease::keep(cx.clone()));
-    tokio::task::spawn_local(lease::follow_hosts(cx.clone()));
+    tokio::task::spawn_local(sync::sync_catalog(cx.clone()));
+    tokio::task::spawn_local(sync::sync_endpoints(cx.clone()));
+    tokio::task::spawn_local(host_registry::keep_registered(cx.clone()));
+    tokio::task::spawn_local(host_registry::sync_hosts(cx.clone()));
     tokio::task::spawn_local(links::accept(cx.clone(), links));
-    tokio::task::spawn_local(links::keep(cx.clone()));
+    tokio::task::spawn_local(links::maintain_links(cx.clone()));
     if !cx.settings.is_first_start {
-        tokio::task::spawn_local(warm::learn(cx.clone()));
+        tokio::task::spawn_local(cache_recovery::recover(cx.clone()));
     }
-    let mut phases = cx.shared.phases();
-    let mut ticks = tokio::time::interval(TICK);
+    let mut phases = cx.shared.subscribe_phase();
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     while *phases.borrow_and_update() < shared::Phase::Stopped {
         tokio::select! {
@@ -117,7 +117,7 @@
             }
         }
     }
-    lease::end(&cx).await;
+    host_registry::deregister(&cx).await;
 }
 
 impl<D, S> Context<D, S>
@@ -142,32 +142,32 @@
     }
 
     /// Notes whether a call to the store was answered.
-    fn note_store(&self, answered: bool, cause: &str) {
+    fn record_store_call(&self, answered: bool, cause: &str) {
         let now = clock::now();
         self.state
             .borrow_mut()
             .directory
             .store_answers(answered, now);
         match answered {
-            true => self.answered.set(now),
+            true => self.last_store_response.set(now),
             false => self.steady_since.set(time::Time::from_micros(u64::MAX)),
         }
-        if self.store_answers.replace(answered) == answered {
+        if self.store_available.replace(answered) == answered {
             return;
         }
         self.events.store_answers(answered, cause);
         if answered {
             self.steady_since.set(now);
-            self.store_back.notify_waiters();
+            self.store_recovered.notify_waiters();
         } else {
             self.metrics.store_lost();
         }
     }
 
     /// Notes that the store answered a call.
-    fn note_answer(&self) {
-        self.answered.set(clock::now());
-        self.failures.set(0);
+    fn record_store_response(&self) {
+        self.last_store_response.set(clock::now());
+        self.store_failures.set(0);
     }
 
     /// How this host fares with its calls to the store.
@@ -176,30 +176,30 @@
         peer::StoreHealth {
             catalog_age_ms: millis(self.shared.catalog_age(now)),
             steady_ms: millis(now.since(self.steady_since.get())),
-            answered_ms: millis(now.since(self.answered.get())),
+            answered_ms: millis(now.since(self.last_store_response.get())),
         }
     }
 
     /// Shows in the metrics what the host believes.
-    fn show_beliefs(&self, now: time::Time) {
+    fn update_gauges(&self, now: time::Time) {
         let state = self.state.borrow();
         self.metrics.believes(&metrics::Beliefs {
             catalog_version: state.catalog.version().map_or(0, |version| version.0),
             endpoints: state.directory.usable().count() as u64,
             hosts_serving: state.hosts.live_count(now) as u64,
-            hosts_heard: state.heard(now) as u64,
-            store_answers: self.store_answers.get(),
+            hosts_heard: state.live_peers(now) as u64,
+            store_answers: self.store_available.get(),
         });
     }
 
     /// Whether a relay brings the news of the store.
-    fn is_fed(&self) -> bool {
-        self.state.borrow().is_fed(clock::now())
+    fn has_live_relay(&self) -> bool {
+        self.state.borrow().has_live_relay(clock::now())
     }
 
     /// What this host knows.
-    fn known(&self) -> peer::StateVersion {
-        self.state.borrow().known()
+    fn state_version(&self) -> peer::StateVersion {
+        self.state.borrow().state_version()
     }
 
     /// Does what is due by time alone.
@@ -214,12 +214,12 @@
             self.publish();
         }
         let mut state = self.state.borrow_mut();
-        state.place(now);
-        state.digests.tick(now);
-        let others = state.digests.total_of_others(&state.spread);
+        state.update_overlay(now);
+        state.load_reports.tick(now);
+        let others = state.load_reports.total_of_others(&state.overlay);
         drop(state);
-        self.shared.publish_other_loads(others);
-        self.show_beliefs(now);
-        links::tell_holdings(self);
+        self.shared.publish_remote_loads(others);
+        self.update_gauges(now);
+        links::broadcast_cached_parts(self);
     }
 }
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -14,13 +14,13 @@
 use crate::shared;
 
 /// Silence after which a relay no longer brings news.
-const FEED_SILENCE: Duration = Duration::from_millis(1_800);
+const RELAY_TIMEOUT: Duration = Duration::from_millis(1_800);
 
 /// Time without an answer of the store after which a relay has no news to bring.
-const FEED_STORE_SILENCE: Duration = Duration::from_millis(3_500);
+const RELAY_STORE_TIMEOUT: Duration = Duration::from_millis(3_500);
 
 /// Most holdings that are remembered without a look at their age.
-const MAX_HOLDINGS: usize = 8_192;
+const MAX_CACHED_PARTS: usize = 8_192;
 
 /// Entry of a host in the store.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -34,20 +34,20 @@
 
 /// What another host said last.
 #[derive(Clone, Debug, Default)]
-pub struct Peer {
+pub struct PeerStatus {
     /// What it knows.
-    pub known: peer::StateVersion,
+    pub version: peer::StateVersion,
     /// How it fares with its calls to the store.
     pub store: peer::StoreHealth,
     /// When it said so.
-    pub heard: time::Time,
+    pub last_heard: time::Time,
 }
 
 /// Everything that the host believes.
 #[derive(Debug)]
 pub struct State {
     /// Name of this host.
-    pub me: Arc<str>,
+    pub name: Arc<str>,
     /// Catalog in force.
     pub catalog: catalog::CurrentCatalog,
     /// Endpoints.
@@ -55,15 +55,15 @@
     /// Hosts of the fleet.
     pub hosts: roster::Roster<HostEntry>,
     /// Other hosts that spoke to this one.
-    pub peers: HashMap<Arc<str>, Peer>,
+    pub peers: HashMap<Arc<str>, PeerStatus>,
     /// Messages to the hosts that this one has a link to.
     pub outboxes: HashMap<Arc<str>, mpsc::Sender<peer::Message>>,
     /// Parts of prompts that endpoints hold, and when they last read them.
-    holdings: HashMap<peer::CachedPart, time::Time>,
+    cached_parts: HashMap<peer::CachedPart, time::Time>,
     /// What other hosts told of their work.
-    pub digests: load_reports::LoadReports,
+    pub load_reports: load_reports::LoadReports,
     /// Place of this host among the others.
-    pub spread: overlay::Overlay,
+    pub overlay: overlay::Overlay,
     domain: String,
     /// Serial of the last published view.
     serial: u64,
@@ -72,17 +72,17 @@
 impl State {
     /// Makes the state of a host that knows nothing.
     #[must_use]
-    pub fn new(me: Arc<str>, domain: String) -> Self {
+    pub fn new(name: Arc<str>, domain: String) -> Self {
         Self {
-            me,
+            name,
             catalog: catalog::CurrentCatalog::default(),
             directory: directory::Directory::default(),
             hosts: roster::Roster::default(),
             peers: HashMap::new(),
             outboxes: HashMap::new(),
-            holdings: HashMap::new(),
-            digests: load_reports::LoadReports::default(),
-            spread: overlay::Overlay::default(),
+            cached_parts: HashMap::new(),
+            load_reports: load_reports::LoadReports::default(),
+            overlay: overlay::Overlay::default(),
             domain,
             serial: 0,
         }
@@ -102,7 +102,7 @@
 
     /// What the host knows.
     #[must_use]
-    pub fn known(&self) -> peer::StateVersion {
+    pub fn state_version(&self) -> peer::StateVersion {
         peer::StateVersion {
             catalog: self.catalog.version(),
             endpoints: self.directory.changed(),
@@ -111,43 +111,43 @@
 
     /// What the host would ask another one for, which knows `known`.
     #[must_use]
-    pub fn want(&self, known: peer::StateVersion) -> Option<peer::StateVersion> {
+    pub fn catch_up_request(&self, theirs: peer::StateVersion) -> Option<peer::StateVersion> {
         let own = peer::StateVersion {
             catalog: self.catalog.version(),
             endpoints: self.directory.complete(),
         };
-        let is_behind = known.catalog > own.catalog || known.endpoints > own.endpoints;
+        let is_behind = theirs.catalog > own.catalog || theirs.endpoints > own.endpoints;
         is_behind.then_some(own)
     }
 
     /// Takes in what another host knows and how it fares with the store.
-    pub fn hear(
+    pub fn record_status(
         &mut self,
         host: &Arc<str>,
-        known: peer::StateVersion,
+        version: peer::StateVersion,
         store: peer::StoreHealth,
         now: time::Time,
     ) {
-        let peer = Peer {
-            known,
+        let peer = PeerStatus {
+            version,
             store,
-            heard: now,
+            last_heard: now,
         };
         self.peers.insert(host.clone(), peer);
         self.hosts.record_contact(host, now);
-        self.digests.record_contact(host, now);
+        self.load_reports.record_contact(host, now);
     }
 
     /// Other hosts that spoke lately.
     #[must_use]
-    pub fn heard(&self, now: time::Time) -> usize {
-        let is_near = |peer: &&Peer| now.since(peer.heard) < FEED_SILENCE;
-        self.peers.values().filter(is_near).count()
+    pub fn live_peers(&self, now: time::Time) -> usize {
+        let is_live = |peer: &&PeerStatus| now.since(peer.last_heard) < RELAY_TIMEOUT;
+        self.peers.values().filter(is_live).count()
     }
 
     /// Works out the place of this host among the others.
-    pub fn place(&mut self, now: time::Time) {
-        let places: Vec<_> = self
+    pub fn update_overlay(&mut self, now: time::Time) {
+        let hosts: Vec<_> = self
             .hosts
             .hosts()
             .map(|(name, entry)| overlay::OverlayHost {
@@ -156,35 +156,36 @@
                 is_live: self.hosts.is_live(name, now),
             })
             .collect();
-        self.spread = overlay::Overlay::new(&self.me, &self.domain, &places);
+        self.overlay = overlay::Overlay::new(&self.name, &self.domain, &hosts);
     }
 
     /// Whether a relay brings the news of the store, so that this host need not follow it.
     #[must_use]
-    pub fn is_fed(&self, now: time::Time) -> bool {
-        let follows = |peer: &Peer| {
+    pub fn has_live_relay(&self, now: time::Time) -> bool {
+        let follows = |peer: &PeerStatus| {
             let answered = Duration::from_millis(u64::from(peer.store.answered_ms));
-            now.since(peer.heard) < FEED_SILENCE && answered < FEED_STORE_SILENCE
+            now.since(peer.last_heard) < RELAY_TIMEOUT && answered < RELAY_STORE_TIMEOUT
         };
-        let relays = self.spread.relays.iter();
-        self.spread.role == overlay::Role::Member
+        let relays = self.overlay.relays.iter();
+        self.overlay.role == overlay::Role::Member
             && relays.filter_map(|name| self.peers.get(name)).any(follows)
     }
 
     /// Remembers what endpoints hold, for hosts that come later.
-    pub fn remember(&mut self, holdings: &[peer::CachedPart], now: time::Time) {
-        self.holdings.extend(holdings.iter().map(|h| (*h, now)));
-        if self.holdings.len() > MAX_HOLDINGS {
-            self.holdings
+    pub fn record_cached_parts(&mut self, parts: &[peer::CachedPart], now: time::Time) {
+        self.cached_parts
+            .extend(parts.iter().map(|part| (*part, now)));
+        if self.cached_parts.len() > MAX_CACHED_PARTS {
+            self.cached_parts
                 .retain(|_, at| now.since(*at) < prefix::HELD_FOR / 2);
         }
     }
 
     /// What endpoints hold.
     #[must_use]
-    pub fn holdings(&self, now: time::Time) -> Vec<peer::CachedPart> {
+    pub fn cached_parts(&self, now: time::Time) -> Vec<peer::CachedPart> {
         let is_held = |at: &time::Time| now.since(*at) < prefix::HELD_FOR;
-        let held = self.holdings.iter().filter(|(_, at)| is_held(at));
-        held.map(|(holding, _)| *holding).collect()
+        let held = self.cached_parts.iter().filter(|(_, at)| is_held(at));
+        held.map(|(part, _)| *part).collect()
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -106,7 +106,7 @@
 
     /// Begins a planned stop.
     pub fn stop(&self) {
-        self.shared.enter(Phase::Leaving);
+        self.shared.enter_phase(Phase::Leaving);
     }
 
     /// Waits for the end of a planned stop. Returns the requests that were cut off.
@@ -116,7 +116,7 @@
     /// Returns an error if a thread failed.
     pub fn close(self) -> eyre::Result<usize> {
         let traffic = self.traffic.join();
-        self.shared.enter(Phase::Stopped);
+        self.shared.enter_phase(Phase::Stopped);
         let control = self.control.join();
         let cut = traffic.map_err(|_| eyre::eyre!("the traffic thread panicked"))??;
         control.map_err(|_| eyre::eyre!("the control thread panicked"))??;
@@ -168,7 +168,7 @@
 
 /// Whether the balancer should send callers here.
 fn health_reply(shared: &shared::Shared) -> admin::Reply {
-    let is_ready = shared.phase() == Phase::Serving && shared.view().is_complete();
+    let is_ready = shared.phase() == Phase::Serving && shared.view().can_serve();
     let status = match is_ready {
         true => StatusCode::OK,
         false => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -30,7 +30,7 @@
 impl View {
     /// Whether requests can be served.
     #[must_use]
-    pub fn is_complete(&self) -> bool {
+    pub fn can_serve(&self) -> bool {
         self.catalog.is_some() && !self.endpoints.is_empty()
     }
 }
@@ -52,14 +52,14 @@
 #[derive(Debug)]
 pub struct Shared {
     view: ArcSwap<View>,
-    other_loads: ArcSwap<load_reports::WorkByEndpoint>,
-    own_loads: ArcSwap<Vec<load::EndpointLoad>>,
+    remote_loads: ArcSwap<load_reports::WorkByEndpoint>,
+    local_loads: ArcSwap<Vec<load::EndpointLoad>>,
     /// Parts of prompts that endpoints read for this host, for the others.
-    pub own_holdings: SegQueue<peer::CachedPart>,
+    pub local_cached_parts: SegQueue<peer::CachedPart>,
     /// Parts of prompts that endpoints read for other hosts.
-    pub heard_holdings: SegQueue<peer::CachedPart>,
+    pub remote_cached_parts: SegQueue<peer::CachedPart>,
     /// When the catalog was last known to be the newest one, in microseconds of the host's clock.
-    confirmed_micros: AtomicU64,
+    catalog_confirmed_micros: AtomicU64,
     phase: watch::Sender<Phase>,
 }
 
@@ -67,11 +67,11 @@
     fn default() -> Self {
         Self {
             view: ArcSwap::default(),
-            other_loads: ArcSwap::default(),
-            own_loads: ArcSwap::default(),
-            own_holdings: SegQueue::new(),
-            heard_holdings: SegQueue::new(),
-            confirmed_micros: AtomicU64::new(0),
+            remote_loads: ArcSwap::default(),
+            local_loads: ArcSwap::default(),
+            local_cached_parts: SegQueue::new(),
+            remote_cached_parts: SegQueue::new(),
+            catalog_confirmed_micros: AtomicU64::new(0),
             phase: watch::Sender::new(Phase::Serving),
         }
     }
@@ -91,36 +91,36 @@
 
     /// Work of the other hosts.
     #[must_use]
-    pub fn other_loads(&self) -> arc_swap::Guard<Arc<load_reports::WorkByEndpoint>> {
-        self.other_loads.load()
+    pub fn remote_loads(&self) -> arc_swap::Guard<Arc<load_reports::WorkByEndpoint>> {
+        self.remote_loads.load()
     }
 
     /// Publishes the work of the other hosts.
-    pub fn publish_other_loads(&self, loads: load_reports::WorkByEndpoint) {
-        self.other_loads.store(Arc::new(loads));
+    pub fn publish_remote_loads(&self, loads: load_reports::WorkByEndpoint) {
+        self.remote_loads.store(Arc::new(loads));
     }
 
     /// Work of this host.
     #[must_use]
-    pub fn own_loads(&self) -> Arc<Vec<load::EndpointLoad>> {
-        self.own_loads.load_full()
+    pub fn local_loads(&self) -> Arc<Vec<load::EndpointLoad>> {
+        self.local_loads.load_full()
     }
 
     /// Publishes the work of this host.
-    pub fn publish_own_loads(&self, loads: Vec<load::EndpointLoad>) {
-        self.own_loads.store(Arc::new(loads));
+    pub fn publish_local_loads(&self, loads: Vec<load::EndpointLoad>) {
+        self.local_loads.store(Arc::new(loads));
     }
 
     /// Notes that the catalog was the newest one at a time.
-    pub fn confirm(&self, at: time::Time) {
-        self.confirmed_micros
+    pub fn confirm_catalog(&self, at: time::Time) {
+        self.catalog_confirmed_micros
             .fetch_max(at.as_micros(), Ordering::Relaxed);
     }
 
     /// Time since the catalog was known to be the newest one.
     #[must_use]
     pub fn catalog_age(&self, now: time::Time) -> Duration {
-        let at = time::Time::from_micros(self.confirmed_micros.load(Ordering::Relaxed));
+        let at = time::Time::from_micros(self.catalog_confirmed_micros.load(Ordering::Relaxed));
         now.since(at)
     }
 
@@ -131,13 +131,13 @@
     }
 
     /// Goes on to a step of the planned stop.
-    pub fn enter(&self, phase: Phase) {
+    pub fn enter_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
     }
 
     /// Follows the steps of the planned stop.
     #[must_use]
-    pub fn phases(&self) -> watch::Receiver<Phase> {
+    pub fn subscribe_phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 }
--- a/crates/gateway/src/traffic/fleet.rs
+++ b/crates/gateway/src/traffic/fleet.rs
@@ -158,8 +158,8 @@
     }
 
     /// Takes in what other hosts had endpoints read.
-    pub(super) fn hear_holdings(&mut self, shared: &shared::Shared, now: time::Time) {
-        while let Some(holding) = shared.heard_holdings.pop() {
+    pub(super) fn apply_remote_cached_parts(&mut self, shared: &shared::Shared, now: time::Time) {
+        while let Some(holding) = shared.remote_cached_parts.pop() {
             if let Some(id) = self.by_hash.get(&holding.endpoint) {
                 self.prefixes.hear(holding.part, *id, now);
             }
@@ -324,7 +324,7 @@
                 let holding = hash.map(|endpoint| peer::CachedPart { part, endpoint });
                 holding
                     .into_iter()
-                    .for_each(|h| cx.shared.own_holdings.push(h));
+                    .for_each(|h| cx.shared.local_cached_parts.push(h));
             }
         }
         drop(fleet);
--- a/crates/gateway/src/traffic/listener.rs
+++ b/crates/gateway/src/traffic/listener.rs
@@ -96,7 +96,7 @@
         .max_buf_size(head_limit(cx))
         .serve_connection(TokioIo::new(stream), service);
     let mut serving = pin!(serving);
-    let mut phases = cx.shared.phases();
+    let mut phases = cx.shared.subscribe_phase();
     let mut check = tokio::time::interval(IDLE_CHECK);
     let mut is_closing = false;
     loop {
@@ -142,7 +142,7 @@
 where
     D: adapter::Dialect,
 {
-    let mut phases = cx.shared.phases();
+    let mut phases = cx.shared.subscribe_phase();
     while *phases.borrow() < Phase::Leaving {
         if phases.changed().await.is_err() {
             return;
@@ -152,7 +152,7 @@
     cx.ends.set(Some(end));
     cx.events.stop_step("leaving", cx.requests.get());
     tokio::time::sleep(LEAVING.min(longest / 2)).await;
-    cx.shared.enter(Phase::Closing);
+    cx.shared.enter_phase(Phase::Closing);
     cx.events.stop_step("closing", cx.requests.get());
     while cx.connections.get() > 0 && clock::now() < end {
         tokio::time::sleep(STOP_CHECK).await;
--- a/crates/gateway/src/traffic/mod.rs
+++ b/crates/gateway/src/traffic/mod.rs
@@ -89,7 +89,7 @@
         cx.pool.prune();
         let loads = cx.fleet.borrow_mut().digest(clock::now());
         if loads != last {
-            cx.shared.publish_own_loads(loads.clone());
+            cx.shared.publish_local_loads(loads.clone());
             last = loads;
         }
     }
--- a/crates/gateway/src/traffic/serve.rs
+++ b/crates/gateway/src/traffic/serve.rs
@@ -242,8 +242,8 @@
 {
     let mut fleet = cx.fleet.borrow_mut();
     fleet.follow(&cx.shared.view());
-    fleet.hear_holdings(&cx.shared, now);
-    let others = cx.shared.other_loads();
+    fleet.apply_remote_cached_parts(&cx.shared, now);
+    let others = cx.shared.remote_loads();
     let service = &origin.plan.service().name;
     fleet.choose(service, &origin.plan.need, &others, &origin.tried, now)
 }
