--- a/crates/cases/src/machine/answer.rs
+++ b/crates/cases/src/machine/answer.rs
@@ -110,30 +110,30 @@
 
 /// The machine.
 #[derive(Debug)]
-pub struct Machine(answer::Assembly);
+pub struct Machine(answer::Assembler);
 
 impl Machine {
     pub(super) fn new(cfg: &Config) -> Self {
-        Self(answer::Assembly::new(cfg.request, cfg.stream))
+        Self(answer::Assembler::new(cfg.request, cfg.stream))
     }
 
     pub(super) fn apply(&mut self, event: Event) -> Option<Outcome> {
         match event {
-            Event::Begin(attempt) => self.0.begin(attempt).map(Outcome::ResumeAfter),
+            Event::Begin(attempt) => self.0.begin_attempt(attempt).map(Outcome::ResumeAfter),
             Event::Sent => {
-                self.0.sent();
+                self.0.mark_sent();
                 None
             }
             Event::Frame {
                 request,
                 attempt,
                 part,
-            } => step(self.0.frame(answer::Frame {
+            } => step(self.0.handle_frame(answer::Frame {
                 request,
                 attempt,
                 part: part.into(),
             })),
-            Event::Lost(reason) => Some(failed(&self.0.lost(reason))),
+            Event::Lost(reason) => Some(failed(&self.0.fail_attempt(reason))),
         }
     }
 }
--- a/crates/core/src/answer/assembly.rs
+++ b/crates/core/src/answer/assembler.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use smallvec::SmallVec;
 
-use crate::answer::held;
+use crate::answer::buffer;
 use crate::{answer, outcome, reason, request, retry, units};
 
 /// Bytes for the caller.
@@ -58,7 +58,7 @@
 
 /// Assembles the answer of one request.
 #[derive(Clone, Debug)]
-pub struct Assembly {
+pub struct Assembler {
     request: request::RequestId,
     /// Whether the caller asked for a stream of events.
     stream: bool,
@@ -66,18 +66,18 @@
     attempt: Option<Attempt>,
     /// Head that the current attempt gave, or that was delivered.
     head: Option<answer::Head>,
-    held: held::Held,
+    buffer: buffer::Buffer,
     /// Whether any part of the answer was delivered.
     delivered: bool,
     /// Last event that was delivered whole.
-    event: Option<u32>,
+    last_event: Option<u32>,
     /// Whether the delivered bytes end where no resumption can go on.
     inside_event: bool,
     /// Whether the whole answer was delivered.
-    ended: bool,
+    complete: bool,
 }
 
-impl Assembly {
+impl Assembler {
     /// Makes the assembly of a request without attempts.
     #[must_use]
     pub fn new(request: request::RequestId, stream: bool) -> Self {
@@ -86,18 +86,18 @@
             stream,
             attempt: None,
             head: None,
-            held: held::Held::default(),
+            buffer: buffer::Buffer::default(),
             delivered: false,
-            event: None,
+            last_event: None,
             inside_event: false,
-            ended: false,
+            complete: false,
         }
     }
 
     /// Begins an attempt and returns the event after which the engine is to resume the answer, or
     /// `None` if the request runs from its start.
-    pub fn begin(&mut self, number: u8) -> Option<u32> {
-        self.held.take();
+    pub fn begin_attempt(&mut self, number: u8) -> Option<u32> {
+        self.buffer.take();
         if !self.delivered {
             self.head = None;
         }
@@ -108,16 +108,16 @@
             next_seq: 0,
             bytes: 0,
         });
-        self.event.filter(|_| self.delivered)
+        self.last_event.filter(|_| self.delivered)
     }
 
     /// Records that bytes of the attempt under way were handed to a connection.
-    pub fn sent(&mut self) {
+    pub fn mark_sent(&mut self) {
         self.advance(outcome::Progress::Sent);
     }
 
     /// Takes a frame.
-    pub fn frame(&mut self, frame: answer::Frame) -> Step {
+    pub fn handle_frame(&mut self, frame: answer::Frame) -> Step {
         if frame.request != self.request {
             return Step::Discarded(Discard::OtherRequest);
         }
@@ -125,38 +125,38 @@
         if current != Some(frame.attempt) {
             return Step::Discarded(Discard::OtherAttempt);
         }
-        self.part(frame.part)
+        self.handle_part(frame.part)
     }
 
     /// Ends the attempt under way because its connection was lost, stalled or was never made.
-    pub fn lost(&mut self, reason: reason::Refusal) -> retry::Failure {
+    pub fn fail_attempt(&mut self, reason: reason::Refusal) -> retry::Failure {
         self.fail(reason, None, None)
     }
 
     /// Whether the whole answer was delivered.
     #[must_use]
-    pub const fn is_whole(&self) -> bool {
-        self.ended
+    pub const fn is_complete(&self) -> bool {
+        self.complete
     }
 
     /// Whether any part of the answer was delivered, so that an error can no longer be sent as a
     /// status.
     #[must_use]
-    pub const fn is_delivered(&self) -> bool {
+    pub const fn has_delivered(&self) -> bool {
         self.delivered
     }
 
-    fn part(&mut self, part: answer::Part) -> Step {
+    fn handle_part(&mut self, part: answer::Part) -> Step {
         match part {
             answer::Part::Queued => self.advance(outcome::Progress::Sent),
             answer::Part::Dispatched => self.advance(outcome::Progress::Dispatched),
-            answer::Part::Head(head) => self.take_head(head),
-            answer::Part::Chunk { seq, event, data } => self.chunk(seq, event, data),
+            answer::Part::Head(head) => self.handle_head(head),
+            answer::Part::Chunk { seq, event, data } => self.handle_chunk(seq, event, data),
             answer::Part::End {
                 chunks,
                 bytes,
                 used,
-            } => self.end(chunks, bytes, used),
+            } => self.handle_end(chunks, bytes, used),
             answer::Part::Failed {
                 reason,
                 outcome,
@@ -173,10 +173,10 @@
     }
 
     /// Takes the head. A resumption has to give the head that was delivered.
-    fn take_head(&mut self, head: answer::Head) -> Step {
+    fn handle_head(&mut self, head: answer::Head) -> Step {
         self.advance(outcome::Progress::Answering);
         match &self.head {
-            Some(delivered) if *delivered != head => self.incomplete(),
+            Some(delivered) if *delivered != head => self.fail_incomplete(),
             _ => {
                 self.head = Some(head);
                 Step::Wait
@@ -184,20 +184,20 @@
         }
     }
 
-    fn chunk(&mut self, seq: u32, event: Option<u32>, data: Bytes) -> Step {
+    fn handle_chunk(&mut self, seq: u32, event: Option<u32>, data: Bytes) -> Step {
         let Some(attempt) = &mut self.attempt else {
             return Step::Discarded(Discard::OtherAttempt);
         };
         if seq < attempt.next_seq {
             return Step::Discarded(Discard::Duplicate);
         }
-        let first_event_is_new = event.is_none() || event > self.event;
+        let first_event_is_new = event.is_none() || event > self.last_event;
         if seq > attempt.next_seq || self.head.is_none() || !first_event_is_new {
-            return self.incomplete();
+            return self.fail_incomplete();
         }
         attempt.next_seq += 1;
         attempt.bytes += data.len() as u64;
-        self.held.push(data);
+        self.buffer.push(data);
         self.release(event)
     }
 
@@ -205,13 +205,13 @@
     /// when no more can be held.
     fn release(&mut self, event: Option<u32>) -> Step {
         if !self.stream {
-            return if self.held.is_full() {
+            return if self.buffer.is_full() {
                 self.deliver(true)
             } else {
                 Step::Wait
             };
         }
-        self.event = event.or(self.event);
+        self.last_event = event.or(self.last_event);
         self.deliver(event.is_none())
     }
 
@@ -225,26 +225,26 @@
         self.delivered = true;
         Delivery {
             head: self.head.clone().filter(|_| first),
-            data: self.held.take(),
+            data: self.buffer.take(),
             end,
             used,
         }
     }
 
     /// Takes the end marker, which has to match what was received.
-    fn end(&mut self, chunks: u32, bytes: u64, used: Option<units::Tokens>) -> Step {
-        let whole = self.attempt.as_ref().is_some_and(|attempt| {
+    fn handle_end(&mut self, chunks: u32, bytes: u64, used: Option<units::Tokens>) -> Step {
+        let complete = self.attempt.as_ref().is_some_and(|attempt| {
             attempt.next_seq == chunks && attempt.bytes == bytes && self.head.is_some()
         });
-        if !whole {
-            return self.incomplete();
+        if !complete {
+            return self.fail_incomplete();
         }
         self.attempt = None;
-        self.ended = true;
+        self.complete = true;
         Step::Deliver(self.delivery(true, used))
     }
 
-    fn incomplete(&mut self) -> Step {
+    fn fail_incomplete(&mut self) -> Step {
         Step::Failed(self.fail(reason::Refusal::AnswerIncomplete, None, None))
     }
 
@@ -252,17 +252,17 @@
     fn fail(
         &mut self,
         reason: reason::Refusal,
-        told: Option<outcome::Outcome>,
+        reported: Option<outcome::Outcome>,
         retry_after: Option<std::time::Duration>,
     ) -> retry::Failure {
-        self.held.take();
+        self.buffer.take();
         let attempt = self.attempt.take();
         let progress = attempt.as_ref().map(|attempt| attempt.progress);
-        let seen = progress.unwrap_or_default().outcome_if_lost();
+        let observed = progress.unwrap_or_default().outcome_if_lost();
         let resumes = attempt.is_some_and(|attempt| attempt.resumes);
         retry::Failure {
             reason,
-            outcome: evidence(seen, told, resumes),
+            outcome: evidence(observed, reported, resumes),
             recovery: self.recovery(reason),
             retry_after,
         }
@@ -272,7 +272,7 @@
         if !self.delivered {
             return retry::Recovery::Restart;
         }
-        let resumable = self.stream && self.event.is_some() && !self.inside_event;
+        let resumable = self.stream && self.last_event.is_some() && !self.inside_event;
         if resumable && reason::Retry::of(reason).is_some() {
             return retry::Recovery::Resume;
         }
@@ -280,16 +280,16 @@
     }
 }
 
-/// Evidence of an attempt from what was seen of it and what the sender told.
+/// Evidence of an attempt from what was seen of it and what the sender reported.
 ///
 /// The sender knows more than this hop, except that an answer whose head was seen did run.
 fn evidence(
-    seen: outcome::Outcome,
-    told: Option<outcome::Outcome>,
+    observed: outcome::Outcome,
+    reported: Option<outcome::Outcome>,
     resumes: bool,
 ) -> outcome::Outcome {
-    if resumes || seen == outcome::Outcome::Run {
+    if resumes || observed == outcome::Outcome::Run {
         return outcome::Outcome::Run;
     }
-    told.unwrap_or(seen)
+    reported.unwrap_or(observed)
 }
--- a/crates/core/src/answer/mod.rs
+++ b/crates/core/src/answer/mod.rs
@@ -12,10 +12,10 @@
 //! two runs are never joined. An answer longer than the bound on held bytes is delivered without
 //! waiting; if it is then cut, it ends as an error.
 
-mod assembly;
+mod assembler;
+mod buffer;
 mod frame;
-mod held;
 
-pub use assembly::{Assembly, Delivery, Discard, Step};
+pub use assembler::{Assembler, Delivery, Discard, Step};
+pub use buffer::MAX_BUFFERED_BYTES;
 pub use frame::{Frame, Head, Part};
-pub use held::MAX_HELD;
--- a/crates/core/tests/answer.rs
+++ b/crates/core/tests/answer.rs
@@ -85,7 +85,7 @@
 
 /// A caller that collects what it is given, and the network before it.
 struct Trial {
-    assembly: answer::Assembly,
+    assembler: answer::Assembler,
     stream: bool,
     body: Vec<u8>,
     whole: bool,
@@ -99,7 +99,7 @@
 impl Trial {
     fn new(stream: bool) -> Self {
         Self {
-            assembly: answer::Assembly::new(request(1), stream),
+            assembler: answer::Assembler::new(request(1), stream),
             stream,
             body: Vec::new(),
             whole: false,
@@ -110,7 +110,7 @@
     }
 
     fn give(&mut self, frame: answer::Frame) -> Option<retry::Failure> {
-        match self.assembly.frame(frame) {
+        match self.assembler.handle_frame(frame) {
             answer::Step::Deliver(delivery) => {
                 assert!(!self.whole, "delivery after the end");
                 self.body.extend(delivery.data.concat());
@@ -128,11 +128,11 @@
         number: u8,
         faults: &mut dyn Iterator<Item = Fault>,
     ) -> Option<retry::Failure> {
-        let after = self.assembly.begin(number);
+        let after = self.assembler.begin_attempt(number);
         if after.is_none() {
             self.run = number;
         }
-        self.assembly.sent();
+        self.assembler.mark_sent();
         let mut frames = attempt_frames(1, number, self.run, after.unwrap_or(0), self.stream);
         let all = frames.clone();
         let mut failure = None;
@@ -157,13 +157,15 @@
                     let other = self.others[at % self.others.len()].clone();
                     failure = self.give(other).or_else(|| self.give(frames[i].clone()));
                 }
-                Fault::Cut => failure = Some(self.assembly.lost(reason::Refusal::ConnectionLost)),
+                Fault::Cut => {
+                    failure = Some(self.assembler.fail_attempt(reason::Refusal::ConnectionLost))
+                }
             }
             i += 1;
         }
         self.stale.extend(all);
         if failure.is_none() && !self.whole {
-            failure = Some(self.assembly.lost(reason::Refusal::ConnectionLost));
+            failure = Some(self.assembler.fail_attempt(reason::Refusal::ConnectionLost));
         }
         failure
     }
@@ -203,17 +205,17 @@
         }
         let answer = trial.answer_of_run();
         prop_assert!(answer.starts_with(&trial.body));
-        prop_assert_eq!(trial.whole, trial.assembly.is_whole());
+        prop_assert_eq!(trial.whole, trial.assembler.is_complete());
         if trial.whole {
             prop_assert_eq!(trial.body, answer);
         }
     }
 }
 
-fn begun(stream: bool) -> answer::Assembly {
-    let mut assembly = answer::Assembly::new(request(1), stream);
-    assert_eq!(assembly.begin(0), None);
-    assembly
+fn begun(stream: bool) -> answer::Assembler {
+    let mut assembler = answer::Assembler::new(request(1), stream);
+    assert_eq!(assembler.begin_attempt(0), None);
+    assembler
 }
 
 fn frame(part: answer::Part) -> answer::Frame {
@@ -226,14 +228,14 @@
 
 #[test]
 fn a_short_answer_fails_at_its_end_marker() {
-    let mut assembly = begun(false);
-    assembly.frame(frame(answer::Part::Head(head())));
+    let mut assembler = begun(false);
+    assembler.handle_frame(frame(answer::Part::Head(head())));
     let end = answer::Part::End {
         chunks: 1,
         bytes: 5,
         used: None,
     };
-    let answer::Step::Failed(failure) = assembly.frame(frame(end)) else {
+    let answer::Step::Failed(failure) = assembler.handle_frame(frame(end)) else {
         panic!("accepted");
     };
     assert_eq!(failure.reason, reason::Refusal::AnswerIncomplete);
@@ -243,29 +245,29 @@
 
 #[test]
 fn evidence_of_a_lost_attempt_is_as_strong_as_what_was_seen() {
-    let mut assembly = begun(false);
-    let unsent = assembly.lost(reason::Refusal::ConnectFailed);
+    let mut assembler = begun(false);
+    let unsent = assembler.fail_attempt(reason::Refusal::ConnectFailed);
     assert_eq!(unsent.outcome, outcome::Outcome::NotRun);
-    assembly.begin(0);
-    assembly.sent();
-    let sent = assembly.lost(reason::Refusal::ConnectionLost);
+    assembler.begin_attempt(0);
+    assembler.mark_sent();
+    let sent = assembler.fail_attempt(reason::Refusal::ConnectionLost);
     assert_eq!(sent.outcome, outcome::Outcome::Unknown);
-    assembly.begin(0);
-    assembly.frame(frame(answer::Part::Head(head())));
-    let answered = assembly.lost(reason::Refusal::ConnectionLost);
+    assembler.begin_attempt(0);
+    assembler.handle_frame(frame(answer::Part::Head(head())));
+    let answered = assembler.fail_attempt(reason::Refusal::ConnectionLost);
     assert_eq!(answered.outcome, outcome::Outcome::Run);
 }
 
 #[test]
 fn a_refusal_after_the_head_does_not_count_as_not_run() {
-    let mut assembly = begun(false);
-    assembly.frame(frame(answer::Part::Head(head())));
+    let mut assembler = begun(false);
+    assembler.handle_frame(frame(answer::Part::Head(head())));
     let refused = answer::Part::Failed {
         reason: reason::Refusal::Draining,
         outcome: outcome::Outcome::NotRun,
         retry_after: None,
     };
-    let answer::Step::Failed(failure) = assembly.frame(frame(refused)) else {
+    let answer::Step::Failed(failure) = assembler.handle_frame(frame(refused)) else {
         panic!("accepted");
     };
     assert_eq!(failure.outcome, outcome::Outcome::Run);
@@ -273,35 +275,35 @@
 
 #[test]
 fn a_long_answer_is_delivered_and_then_cannot_be_repeated() {
-    let mut assembly = begun(false);
-    assembly.frame(frame(answer::Part::Head(head())));
+    let mut assembler = begun(false);
+    assembler.handle_frame(frame(answer::Part::Head(head())));
     let piece = answer::Part::Chunk {
         seq: 0,
         event: None,
-        data: Bytes::from(vec![b'x'; answer::MAX_HELD + 1]),
+        data: Bytes::from(vec![b'x'; answer::MAX_BUFFERED_BYTES + 1]),
     };
-    let step = assembly.frame(frame(piece));
+    let step = assembler.handle_frame(frame(piece));
     assert!(matches!(step, answer::Step::Deliver(_)));
-    let failure = assembly.lost(reason::Refusal::ConnectionLost);
+    let failure = assembler.fail_attempt(reason::Refusal::ConnectionLost);
     assert_eq!(failure.recovery, retry::Recovery::Impossible);
 }
 
 #[test]
 fn a_resumed_stream_with_another_head_fails() {
-    let mut assembly = begun(true);
-    assembly.frame(frame(answer::Part::Head(head())));
+    let mut assembler = begun(true);
+    assembler.handle_frame(frame(answer::Part::Head(head())));
     let piece = answer::Part::Chunk {
         seq: 0,
         event: Some(4),
         data: Bytes::from_static(b"data: a\n\n"),
     };
-    assembly.frame(frame(piece));
-    assembly.lost(reason::Refusal::ConnectionLost);
-    assert_eq!(assembly.begin(0), Some(4));
+    assembler.handle_frame(frame(piece));
+    assembler.fail_attempt(reason::Refusal::ConnectionLost);
+    assert_eq!(assembler.begin_attempt(0), Some(4));
     let other = answer::Head {
         status: 404,
         ..head()
     };
-    let step = assembly.frame(frame(answer::Part::Head(other)));
+    let step = assembler.handle_frame(frame(answer::Part::Head(other)));
     assert!(matches!(step, answer::Step::Failed(_)));
 }
--- a/crates/measure/src/actions/answers.rs
+++ b/crates/measure/src/actions/answers.rs
@@ -68,7 +68,7 @@
     rng: rand_chacha::ChaCha8Rng,
     request: u64,
     stream: bool,
-    assembly: answer::Assembly,
+    assembler: answer::Assembler,
     /// Frames that were sent for this request or another and may arrive late.
     stray: Vec<answer::Frame>,
     body: Vec<u8>,
@@ -87,7 +87,7 @@
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed ^ request),
             request,
             stream,
-            assembly: answer::Assembly::new(request_id(request), stream),
+            assembler: answer::Assembler::new(request_id(request), stream),
             stray: frames(request + 1, 0, 0, 0, stream),
             body: Vec::new(),
             run: 0,
@@ -102,7 +102,7 @@
 impl Trial {
     fn attempts(&mut self) {
         for number in 0..MAX_ATTEMPTS {
-            let after = self.assembly.begin(number);
+            let after = self.assembler.begin_attempt(number);
             match after {
                 Some(_) => self.resumed = true,
                 None => self.run = number,
@@ -125,10 +125,10 @@
 
     /// Sends the frames of an attempt with faults, and returns how it failed.
     fn attempt(&mut self, frames: &[answer::Frame]) -> Option<retry::Failure> {
-        self.assembly.sent();
+        self.assembler.mark_sent();
         for frame in frames {
             if self.fault() {
-                return Some(self.assembly.lost(reason::Refusal::ConnectionLost));
+                return Some(self.assembler.fail_attempt(reason::Refusal::ConnectionLost));
             }
             let stray = self.rng.random_range(0..self.stray.len());
             let stray = self.fault().then(|| self.stray[stray].clone());
@@ -141,8 +141,8 @@
                 }
             }
         }
-        let whole = self.assembly.is_whole();
-        (!whole).then(|| self.assembly.lost(reason::Refusal::ConnectionLost))
+        let whole = self.assembler.is_complete();
+        (!whole).then(|| self.assembler.fail_attempt(reason::Refusal::ConnectionLost))
     }
 
     fn fault(&mut self) -> bool {
@@ -150,7 +150,7 @@
     }
 
     fn give(&mut self, frame: answer::Frame) -> Option<retry::Failure> {
-        match self.assembly.frame(frame) {
+        match self.assembler.handle_frame(frame) {
             answer::Step::Deliver(delivery) => {
                 self.body.extend(delivery.data.concat());
                 None
@@ -163,7 +163,7 @@
     fn count(&self, tally: &mut Tally) {
         let events = (1..=EVENTS).flat_map(|event| text(self.request, self.run, event));
         let answer: Vec<u8> = events.collect();
-        let whole = self.assembly.is_whole();
+        let whole = self.assembler.is_complete();
         let right = match whole {
             true => self.body == answer,
             false => answer.starts_with(&self.body),
--- a/crates/runtime/src/entry/serve.rs
+++ b/crates/runtime/src/entry/serve.rs
@@ -52,7 +52,7 @@
         let Some(mut retries) = retries else {
             return caller.refuse(&self.not_admitted(control::Refused::stopped()));
         };
-        let mut assembly = answer::Assembly::new(self.request, self.call.stream);
+        let mut assembler = answer::Assembler::new(self.request, self.call.stream);
         let mut hops = hops::Hops::new(&admitted.candidates);
         let mut hop = hops.next();
         loop {
@@ -65,8 +65,8 @@
             };
             let mut head = self.head(admitted, current, attempt);
             head.remaining = retries.remaining(clock::now());
-            head.resume_after = assembly.begin(attempt);
-            let failure = match self.attempt(&mut caller, &mut assembly, current, head) {
+            head.resume_after = assembler.begin_attempt(attempt);
+            let failure = match self.attempt(&mut caller, &mut assembler, current, head) {
                 Ok(()) => return outcome::Outcome::Run,
                 Err(failure) => failure,
             };
@@ -151,33 +151,33 @@
     fn attempt(
         &self,
         caller: &mut Caller<'_>,
-        assembly: &mut answer::Assembly,
+        assembler: &mut answer::Assembler,
         hop: hops::Hop,
         head: forward::Forward,
     ) -> Result<(), retry::Failure> {
         let Some(mut replies) = self.send(hop, head) else {
-            return Err(assembly.lost(reason::Refusal::Internal));
+            return Err(assembler.fail_attempt(reason::Refusal::Internal));
         };
         loop {
             let frame = match replies.recv() {
                 Some(Ok(frame)) => frame,
                 Some(Err(e)) => {
                     if e.outcome() != outcome::Outcome::NotRun {
-                        assembly.sent();
+                        assembler.mark_sent();
                     }
-                    return Err(assembly.lost(e.reason()));
+                    return Err(assembler.fail_attempt(e.reason()));
                 }
                 None => {
-                    assembly.sent();
-                    return Err(assembly.lost(reason::Refusal::ConnectionLost));
+                    assembler.mark_sent();
+                    return Err(assembler.fail_attempt(reason::Refusal::ConnectionLost));
                 }
             };
-            match assembly.frame(frame) {
+            match assembler.handle_frame(frame) {
                 answer::Step::Wait => {}
                 answer::Step::Deliver(delivery) => {
                     let end = delivery.end;
                     if caller.deliver(delivery).is_err() {
-                        return Err(assembly.lost(reason::Refusal::CallerGone));
+                        return Err(assembler.fail_attempt(reason::Refusal::CallerGone));
                     }
                     if end {
                         return Ok(());
