--- a/crates/core/src/sse.rs
+++ b/crates/core/src/sse.rs
@@ -9,7 +9,7 @@
 
 /// Why a stream cannot go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum StreamError {
     /// An event is longer than [`MAX_EVENT_BYTES`].
     TooLong,
     /// The id of an event does not follow that of the one before it.
@@ -21,7 +21,7 @@
     },
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for StreamError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::TooLong => write!(f, "event exceeds {MAX_EVENT_BYTES} bytes"),
@@ -30,7 +30,7 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for StreamError {}
 
 /// Passes whole events on, and no event twice.
 #[derive(Clone, Debug, Default)]
@@ -46,7 +46,7 @@
 impl Splitter {
     /// Makes a splitter of a stream that its caller has up to an event already.
     #[must_use]
-    pub fn after(last_id: Option<u64>) -> Self {
+    pub fn resume_after(last_id: Option<u64>) -> Self {
         Self {
             last_id,
             ..Self::default()
@@ -57,30 +57,30 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Fault`] if the stream cannot go on.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, Fault> {
+    /// Returns a [`StreamError`] if the stream cannot go on.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, StreamError> {
         self.partial.extend_from_slice(bytes);
         let mut passed = BytesMut::new();
         while let Some(end) = event_end(&self.partial) {
             let event = self.partial.split_to(end);
-            if self.admit(&event)? {
+            if self.is_new(&event)? {
                 passed.unsplit(event);
             }
         }
         if self.partial.len() > MAX_EVENT_BYTES {
-            return Err(Fault::TooLong);
+            return Err(StreamError::TooLong);
         }
         Ok(passed.freeze())
     }
 
     /// Forgets an event that was cut, since another endpoint starts it again.
-    pub fn restart(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
     /// Whether no part of an event is held.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn at_event_boundary(&self) -> bool {
         self.partial.is_empty()
     }
 
@@ -97,14 +97,14 @@
     }
 
     /// Whether an event is passed on: not if its caller has it already.
-    fn admit(&mut self, event: &[u8]) -> Result<bool, Fault> {
+    fn is_new(&mut self, event: &[u8]) -> Result<bool, StreamError> {
         let Some(id) = event_id(event) else {
             self.events += 1;
             return Ok(true);
         };
         match self.last_id {
             Some(last) if id <= last => return Ok(false),
-            Some(after) if id > after + 1 => return Err(Fault::Gap { after, found: id }),
+            Some(after) if id > after + 1 => return Err(StreamError::Gap { after, found: id }),
             Some(_) | None => {}
         }
         self.last_id = Some(id);
--- a/crates/core/tests/sse.rs
+++ b/crates/core/tests/sse.rs
@@ -1,6 +1,6 @@
 //! Streams of events: whole events only, none twice, and parts joined without a gap.
 
-use pistachiochute_core::sse::{Fault, Splitter};
+use pistachiochute_core::sse::{Splitter, StreamError};
 use proptest::prelude::proptest;
 use proptest::prop_assert_eq;
 use proptest::test_runner::{Config, RngSeed};
@@ -19,8 +19,8 @@
     let cut = &whole.as_bytes()[..whole.len() - 4];
     let passed = splitter.push(cut).expect("no fault");
     assert_eq!(passed, events(0..2));
-    assert!(!splitter.is_whole());
-    splitter.restart();
+    assert!(!splitter.at_event_boundary());
+    splitter.discard_partial();
     assert_eq!(splitter.last_id(), Some(1));
     let passed = splitter.push(events(2..5).as_bytes()).expect("no fault");
     assert_eq!(passed, events(2..5));
@@ -28,15 +28,15 @@
 
 #[test]
 fn events_that_the_caller_has_are_left_out() {
-    let mut splitter = Splitter::after(Some(4));
+    let mut splitter = Splitter::resume_after(Some(4));
     let passed = splitter.push(events(3..7).as_bytes()).expect("no fault");
     assert_eq!(passed, events(5..7));
 }
 
 #[test]
 fn a_gap_between_two_parts_is_a_fault() {
-    let mut splitter = Splitter::after(Some(4));
-    let gap = Fault::Gap { after: 4, found: 6 };
+    let mut splitter = Splitter::resume_after(Some(4));
+    let gap = StreamError::Gap { after: 4, found: 6 };
     assert_eq!(splitter.push(events(6..7).as_bytes()), Err(gap));
 }
 
--- a/crates/gateway/src/traffic/relay.rs
+++ b/crates/gateway/src/traffic/relay.rs
@@ -87,7 +87,7 @@
         Self {
             origin: Some(origin),
             source: Source::Endpoint(opened),
-            splitter: sse::Splitter::after(after_event),
+            splitter: sse::Splitter::resume_after(after_event),
             deadline: Box::pin(tokio::time::sleep(left)),
             report,
         }
@@ -140,7 +140,7 @@
                 self.pass_on(&data)
             }
             Some(Err(e)) => self.broken(&e.to_string()),
-            None if !self.splitter.is_whole() => self.broken("ended within an event"),
+            None if !self.splitter.at_event_boundary() => self.broken("ended within an event"),
             None => {
                 self.finish();
                 Some(None)
@@ -173,7 +173,7 @@
 
     /// The stream of the endpoint broke: it is resumed elsewhere, or the caller's stream is cut.
     fn broken(&mut self, cause: &str) -> Option<Option<Result<Frame<Bytes>, Cut>>> {
-        self.splitter.restart();
+        self.splitter.discard_partial();
         // The connection and the count of the endpoint end here.
         self.source = Source::Done;
         let may_resume = self
