--- a/crates/cases/src/machine/journal.rs
+++ b/crates/cases/src/machine/journal.rs
@@ -150,7 +150,7 @@
 #[derive(Debug)]
 pub struct Machine {
     hosts: Vec<Host>,
-    shards: BTreeMap<journal::ShardId, journal::Stored>,
+    shards: BTreeMap<journal::ShardId, journal::StoredShard>,
     /// Revision of the last change of any shard.
     revision: u64,
 }
@@ -190,11 +190,11 @@
                 key,
                 body,
             } => {
-                let begin = journal::Begin {
+                let begin = journal::NewAttempt {
                     attempt: attempt_id(&attempt),
                     key: journal::ActionKey::new(&account, key).ok()?,
                     fingerprint: journal::Fingerprint::of(PATH, body.as_bytes()),
-                    until: clock(now).plus(UNTIL_MS),
+                    not_after: clock(now).plus(UNTIL_MS),
                 };
                 self.hosts.get(host)?;
                 Some((host, Some(journal::Event::Begin(begin))))
@@ -211,8 +211,8 @@
             Event::Finished { host, attempt, end } => {
                 self.hosts.get(host)?;
                 let attempt = attempt_id(&attempt);
-                let end = end.into();
-                Some((host, Some(journal::Event::Finished { attempt, end })))
+                let result = end.into();
+                Some((host, Some(journal::Event::Finished { attempt, result })))
             }
             Event::Cancel { host, attempt } => {
                 self.hosts.get(host)?;
@@ -277,7 +277,7 @@
         }
         self.revision += 1;
         let revision = journal::ModRevision(self.revision);
-        *stored = journal::Stored {
+        *stored = journal::StoredShard {
             revision,
             shard: content,
         };
@@ -285,13 +285,13 @@
     }
 }
 
-impl From<End> for journal::End {
+impl From<End> for journal::AttemptResult {
     fn from(end: End) -> Self {
         match end {
             End::NotRun => Self::NotRun,
             End::Unknown => Self::Unknown,
             End::Run(text) => {
-                let recorded = journal::Recorded::new(200, &Bytes::new(), &Bytes::from(text));
+                let recorded = journal::RecordedAnswer::new(200, &Bytes::new(), &Bytes::from(text));
                 Self::Run(recorded)
             }
         }
--- a/crates/core/src/journal/advance.rs
+++ b/crates/core/src/journal/advance.rs
@@ -1,27 +1,28 @@
 //! What a host does at one shard once something has changed: answers, dispatches, the next call.
 
-use crate::journal::machine::{Moment, answer};
-use crate::journal::work::{Call, Verdict, judge, reservation};
+use crate::journal::machine::{EventTime, refuse};
+use crate::journal::shard_state::{Call, Disposition, decide, reservation};
 use crate::journal::{
-    AttemptId, Begin, CallId, Effect, Effects, Journal, Shard, ShardId, Stored, UnixMillis, Window,
+    AttemptId, CallId, Effect, Effects, Journal, NewAttempt, Shard, ShardId, StoredShard,
+    UnixMillis, Window,
 };
 use crate::{outcome, reason};
 
 impl Journal {
     /// Does what can be done at a shard: answers, dispatches and the next call.
-    pub(super) fn advance(&mut self, shard: ShardId, at: Moment, effects: &mut Effects) {
-        self.expire(shard, at, effects);
-        let Some(work) = self.works.get(&shard) else {
+    pub(super) fn advance(&mut self, shard: ShardId, at: EventTime, effects: &mut Effects) {
+        self.refuse_expired(shard, at, effects);
+        let Some(state) = self.shards.get(&shard) else {
             return;
         };
-        if work.call.is_some() || work.is_idle() {
+        if state.call.is_some() || state.is_idle() {
             return;
         }
-        let Some(known) = work.known.clone() else {
+        let Some(cached) = state.cached.clone() else {
             return self.read_when_due(shard, at, effects);
         };
-        match self.settle(shard, &known, at, effects) {
-            Some(next) => self.swap_when_due(shard, known, next, at, effects),
+        match self.resolve_waiting(shard, &cached, at, effects) {
+            Some(next) => self.swap_when_due(shard, cached, next, at, effects),
             None => self.read(shard, effects),
         }
     }
@@ -30,93 +31,93 @@
     ///
     /// This is the check that follows a confirmation. If the shard of an earlier run of the key
     /// was deleted before the reservation took effect, the key is refused here.
-    fn expire(&mut self, shard: ShardId, at: Moment, effects: &mut Effects) {
+    fn refuse_expired(&mut self, shard: ShardId, at: EventTime, effects: &mut Effects) {
         let due = at.now + self.cfg.outcome_linger();
         let window = self.cfg.window;
-        let Some(work) = self.works.get_mut(&shard) else {
+        let Some(state) = self.shards.get_mut(&shard) else {
             return;
         };
-        for waiting in std::mem::take(&mut work.waiting) {
-            match refusal_of_age(&window, &waiting.begin, at.clock) {
-                None => work.waiting.push(waiting),
+        for waiting in std::mem::take(&mut state.waiting) {
+            match check_age(&window, &waiting.begin, at.clock) {
+                None => state.waiting.push(waiting),
                 Some((reason, outcome)) => {
-                    work.abandon(&waiting, due);
-                    answer(effects, waiting.begin.attempt, reason, outcome);
+                    state.abandon(&waiting, due);
+                    refuse(effects, waiting.begin.attempt, reason, outcome);
                 }
             }
         }
     }
 
-    /// Reads a shard whose content is not known, at once if an attempt waits for it.
-    fn read_when_due(&mut self, shard: ShardId, at: Moment, effects: &mut Effects) {
-        let work = self.works.entry(shard).or_default();
-        let record_due = work.outbox.due().is_some_and(|due| due <= at.now);
-        if !work.waiting.is_empty() || record_due {
+    /// Reads a shard whose content is not cached, at once if an attempt waits for it.
+    fn read_when_due(&mut self, shard: ShardId, at: EventTime, effects: &mut Effects) {
+        let state = self.shards.entry(shard).or_default();
+        let record_due = state.outbox.due().is_some_and(|due| due <= at.now);
+        if !state.waiting.is_empty() || record_due {
             self.read(shard, effects);
         }
     }
 
     /// Answers and dispatches what the content of the shard decides, and returns the content with
     /// the reservations of the next swap, or `None` if the shard has to be read first.
-    fn settle(
+    fn resolve_waiting(
         &mut self,
         shard: ShardId,
-        known: &Stored,
-        at: Moment,
+        cached: &StoredShard,
+        at: EventTime,
         effects: &mut Effects,
     ) -> Option<(Shard, Vec<AttemptId>)> {
-        let work = self.works.get_mut(&shard)?;
-        let mut next = known.shard.clone();
-        work.outbox.apply(&mut next);
+        let state = self.shards.get_mut(&shard)?;
+        let mut next = cached.shard.clone();
+        state.outbox.apply(&mut next);
         let mut batch = Vec::new();
         let mut read = false;
         let mut kept = Vec::new();
         let mut confirmed = Vec::new();
-        for waiting in std::mem::take(&mut work.waiting) {
+        for waiting in std::mem::take(&mut state.waiting) {
             let attempt = waiting.begin.attempt;
-            match judge(
+            match decide(
                 &waiting,
-                &known.shard,
+                &cached.shard,
                 &next,
                 at.clock,
                 self.cfg.window.skew_ms,
             ) {
-                Verdict::Confirmed => confirmed.push(waiting),
-                Verdict::Answer(answer) => effects.push(Effect::Answer { attempt, answer }),
-                Verdict::Reserve if next.has_room(&waiting.begin.key.hash) => {
+                Disposition::Confirmed => confirmed.push(waiting),
+                Disposition::Answer(answer) => effects.push(Effect::Answer { attempt, answer }),
+                Disposition::Reserve if next.has_room(&waiting.begin.key.hash) => {
                     next.insert(waiting.begin.key.hash, reservation(&waiting.begin));
                     batch.push(attempt);
                     kept.push(waiting);
                 }
-                Verdict::Reserve => {
+                Disposition::Reserve => {
                     let due = at.now + self.cfg.outcome_linger();
-                    work.abandon(&waiting, due);
+                    state.abandon(&waiting, due);
                     let reason = reason::Refusal::JournalFull;
-                    answer(effects, attempt, reason, outcome::Outcome::NotRun);
+                    refuse(effects, attempt, reason, outcome::Outcome::NotRun);
                 }
-                Verdict::Later => kept.push(waiting),
-                Verdict::Read => {
+                Disposition::Defer => kept.push(waiting),
+                Disposition::ReadFirst => {
                     read = true;
                     kept.push(waiting);
                 }
             }
         }
-        work.waiting = kept;
+        state.waiting = kept;
         for waiting in confirmed {
-            self.permit(&waiting.begin, effects);
+            self.dispatch(&waiting.begin, effects);
         }
         (!read).then_some((next, batch))
     }
 
     /// Dispatches an attempt whose reservation is confirmed.
-    fn permit(&mut self, begin: &Begin, effects: &mut Effects) {
-        let Begin { attempt, key, .. } = *begin;
-        let newest = key.at.plus(self.cfg.window.retention_ms);
-        self.running.insert(attempt, key);
+    fn dispatch(&mut self, begin: &NewAttempt, effects: &mut Effects) {
+        let NewAttempt { attempt, key, .. } = *begin;
+        let newest = key.issued_at.plus(self.cfg.window.retention_ms);
+        self.dispatched.insert(attempt, key);
         effects.push(Effect::Dispatch {
             attempt,
             key,
-            not_after: begin.until.min(newest),
+            not_after: begin.not_after.min(newest),
         });
     }
 
@@ -124,35 +125,38 @@
     fn swap_when_due(
         &mut self,
         shard: ShardId,
-        known: Stored,
+        cached: StoredShard,
         next: (Shard, Vec<AttemptId>),
-        at: Moment,
+        at: EventTime,
         effects: &mut Effects,
     ) {
         let (content, batch) = next;
-        let work = self.works.entry(shard).or_default();
-        let record_due = work.outbox.due().is_some_and(|due| due <= at.now);
-        let paced = self.paced.get(&shard.slot).is_some_and(|due| at.now < *due);
+        let state = self.shards.entry(shard).or_default();
+        let record_due = state.outbox.due().is_some_and(|due| due <= at.now);
+        let paced = self
+            .next_swap
+            .get(&shard.slot)
+            .is_some_and(|due| at.now < *due);
         if paced || (batch.is_empty() && !record_due) {
             return;
         }
         let call = self.next_call(shard);
-        self.paced
+        self.next_swap
             .insert(shard.slot, at.now + self.cfg.swap_interval());
         effects.push(Effect::Swap {
             call,
             shard,
-            expected: known.revision,
+            expected: cached.revision,
             content: content.clone(),
         });
-        let work = self.works.entry(shard).or_default();
-        work.call = Some((call, Call::Swap { content, batch }));
+        let state = self.shards.entry(shard).or_default();
+        state.call = Some((call, Call::Swap { content, batch }));
     }
 
     fn read(&mut self, shard: ShardId, effects: &mut Effects) {
         let call = self.next_call(shard);
         effects.push(Effect::Read { call, shard });
-        self.works.entry(shard).or_default().call = Some((call, Call::Read));
+        self.shards.entry(shard).or_default().call = Some((call, Call::Read));
     }
 
     fn next_call(&mut self, shard: ShardId) -> CallId {
@@ -164,13 +168,13 @@
 }
 
 /// Why an attempt is too old to be dispatched, and what is known of its action.
-fn refusal_of_age(
+fn check_age(
     window: &Window,
-    begin: &Begin,
+    begin: &NewAttempt,
     clock: UnixMillis,
 ) -> Option<(reason::Refusal, outcome::Outcome)> {
     if let Err(reason) = window.check(&begin.key, clock) {
         return Some((reason, outcome::Outcome::Unknown));
     }
-    (clock > begin.until).then_some((reason::Refusal::Deadline, outcome::Outcome::NotRun))
+    (clock > begin.not_after).then_some((reason::Refusal::Deadline, outcome::Outcome::NotRun))
 }
--- a/crates/core/src/journal/config.rs
+++ b/crates/core/src/journal/config.rs
@@ -38,10 +38,10 @@
     /// Returns [`reason::Refusal::KeyExpired`] for a key that is too old and
     /// [`reason::Refusal::KeyAhead`] for one that lies too far ahead.
     pub fn check(&self, key: &ActionKey, clock: UnixMillis) -> Result<(), reason::Refusal> {
-        if clock > key.at.plus(self.retention_ms) {
+        if clock > key.issued_at.plus(self.retention_ms) {
             return Err(reason::Refusal::KeyExpired);
         }
-        if key.at > clock.plus(self.ahead_ms) {
+        if key.issued_at > clock.plus(self.ahead_ms) {
             return Err(reason::Refusal::KeyAhead);
         }
         Ok(())
@@ -52,7 +52,7 @@
     /// Every key of an earlier segment is refused by every host, even if this clock is ahead and
     /// the other one behind by the whole skew.
     #[must_use]
-    pub const fn first_kept(&self, clock: UnixMillis) -> u64 {
+    pub const fn first_retained_segment(&self, clock: UnixMillis) -> u64 {
         let refused_everywhere = self.retention_ms + 2 * self.skew_ms;
         clock.0.saturating_sub(refused_everywhere) / self.segment_ms
     }
@@ -60,7 +60,7 @@
     /// Segment of a key.
     #[must_use]
     pub const fn segment(&self, key: &ActionKey) -> u64 {
-        key.at.0 / self.segment_ms
+        key.issued_at.0 / self.segment_ms
     }
 }
 
--- a/crates/core/src/journal/event.rs
+++ b/crates/core/src/journal/event.rs
@@ -5,7 +5,8 @@
 use smallvec::SmallVec;
 
 use crate::journal::{
-    ActionKey, AttemptId, Begin, ModRevision, Recorded, Shard, ShardId, Stored, UnixMillis,
+    ActionKey, AttemptId, ModRevision, NewAttempt, RecordedAnswer, Shard, ShardId, StoredShard,
+    UnixMillis,
 };
 use crate::{outcome, reason};
 
@@ -15,20 +16,20 @@
 
 /// How a dispatched attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum End {
+pub enum AttemptResult {
     /// It was proved not to have run.
     NotRun,
     /// Its fate is not known.
     Unknown,
     /// It ran.
-    Run(Recorded),
+    Run(RecordedAnswer),
 }
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A caller asks for an action.
-    Begin(Begin),
+    Begin(NewAttempt),
     /// The caller of an attempt went away, or its request was given up.
     Cancel(AttemptId),
     /// A dispatched attempt ended.
@@ -36,14 +37,14 @@
         /// The attempt.
         attempt: AttemptId,
         /// How it ended.
-        end: End,
+        result: AttemptResult,
     },
     /// A read was answered.
     Loaded {
         /// The read.
         call: CallId,
         /// Content of the shard.
-        stored: Stored,
+        stored: StoredShard,
     },
     /// A read was not answered.
     ReadFailed(CallId),
@@ -59,7 +60,7 @@
         /// The swap.
         call: CallId,
         /// Content of the shard.
-        stored: Stored,
+        stored: StoredShard,
     },
     /// A swap surely never takes effect: it was not sent, or the service refused it.
     SwapFailed(CallId),
@@ -73,7 +74,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
     /// The action ran earlier with this answer, whose body was kept.
-    Recorded(Recorded),
+    Recorded(RecordedAnswer),
     /// The attempt is refused.
     Refused {
         /// Why.
--- a/crates/core/src/journal/key.rs
+++ b/crates/core/src/journal/key.rs
@@ -126,7 +126,7 @@
     /// Hash that finds the record.
     pub hash: KeyHash,
     /// Time in the key, by the clock of the caller.
-    pub at: UnixMillis,
+    pub issued_at: UnixMillis,
 }
 
 impl ActionKey {
@@ -143,7 +143,7 @@
         let at = secs.saturating_mul(1_000) + u64::from(nanos) / 1_000_000;
         Ok(Self {
             hash: KeyHash(hash_parts([account.as_str().as_bytes(), key.as_bytes()])),
-            at: UnixMillis(at),
+            issued_at: UnixMillis(at),
         })
     }
 }
--- a/crates/core/src/journal/machine.rs
+++ b/crates/core/src/journal/machine.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::journal::work::{Call, Waiting, Work};
+use crate::journal::shard_state::{Call, ShardState, WaitingAttempt};
 use crate::journal::{
-    ActionKey, Answer, AttemptId, CallId, Config, Effect, Effects, End, Event, Fingerprint,
-    ShardId, State, Stored, UnixMillis,
+    ActionKey, Answer, AttemptId, AttemptResult, CallId, Config, Effect, Effects, Event,
+    Fingerprint, ShardId, State, StoredShard, UnixMillis,
 };
 use crate::{outcome, reason, time};
 
@@ -15,7 +15,7 @@
 
 /// A caller's request for an action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Begin {
+pub struct NewAttempt {
     /// New id of the attempt.
     pub attempt: AttemptId,
     /// Key of the action.
@@ -23,41 +23,41 @@
     /// Hash of what the action asks for.
     pub fingerprint: Fingerprint,
     /// Time after which the attempt must not be dispatched.
-    pub until: UnixMillis,
+    pub not_after: UnixMillis,
 }
 
 /// The journal as one host works with it.
 #[derive(Clone, Debug, Hash)]
 pub struct Journal {
     pub(super) cfg: Config,
-    pub(super) works: BTreeMap<ShardId, Work>,
+    pub(super) shards: BTreeMap<ShardId, ShardState>,
     /// Dispatched attempts whose end was not reported yet.
-    pub(super) running: BTreeMap<AttemptId, ActionKey>,
+    pub(super) dispatched: BTreeMap<AttemptId, ActionKey>,
     /// Shard of each call under way.
     pub(super) calls: BTreeMap<CallId, ShardId>,
     pub(super) next_call: CallId,
     /// Earliest next swap of each slot.
-    pub(super) paced: BTreeMap<u16, time::Time>,
+    pub(super) next_swap: BTreeMap<u16, time::Time>,
 }
 
 /// Time of an event on the two clocks of the host.
 #[derive(Clone, Copy)]
-pub(super) struct Moment {
+pub(super) struct EventTime {
     pub(super) now: time::Time,
     pub(super) clock: UnixMillis,
 }
 
 impl Journal {
-    /// Makes a journal without work.
+    /// Makes a journal without state.
     #[must_use]
     pub const fn new(cfg: Config) -> Self {
         Self {
             cfg,
-            works: BTreeMap::new(),
-            running: BTreeMap::new(),
+            shards: BTreeMap::new(),
+            dispatched: BTreeMap::new(),
             calls: BTreeMap::new(),
             next_call: CallId(0),
-            paced: BTreeMap::new(),
+            next_swap: BTreeMap::new(),
         }
     }
 
@@ -66,12 +66,12 @@
     /// `clock` has to be read after the event happened: the check of the retention window before a
     /// dispatch depends on it.
     pub fn handle(&mut self, event: Event, now: time::Time, clock: UnixMillis) -> Effects {
-        let at = Moment { now, clock };
+        let at = EventTime { now, clock };
         let mut effects = Effects::new();
         match event {
             Event::Begin(begin) => self.begin(begin, at, &mut effects),
             Event::Cancel(attempt) => self.cancel(attempt, at),
-            Event::Finished { attempt, end } => self.finished(attempt, end, at, &mut effects),
+            Event::Finished { attempt, result } => self.finished(attempt, result, at, &mut effects),
             Event::Loaded { call, stored } => self.loaded(call, stored, at, &mut effects),
             Event::ReadFailed(call) => self.store_failed(call, at, &mut effects),
             Event::Swapped { call, revision } => self.swapped(call, revision, at, &mut effects),
@@ -87,76 +87,89 @@
     /// anything waits.
     #[must_use]
     pub fn wakeup(&self) -> Option<time::Time> {
-        let due = |(shard, work): (&ShardId, &Work)| {
-            let paced = self.paced.get(&shard.slot).copied().unwrap_or_default();
-            let reserve = (!work.waiting.is_empty()).then_some(paced);
-            let record = work.outbox.due().map(|due| due.max(paced));
-            let call = work.call.is_none();
+        let due = |(shard, state): (&ShardId, &ShardState)| {
+            let paced = self.next_swap.get(&shard.slot).copied().unwrap_or_default();
+            let reserve = (!state.waiting.is_empty()).then_some(paced);
+            let record = state.outbox.due().map(|due| due.max(paced));
+            let call = state.call.is_none();
             reserve.into_iter().chain(record).min().filter(|_| call)
         };
-        self.works.iter().filter_map(due).min()
+        self.shards.iter().filter_map(due).min()
     }
 
     /// Whether nothing waits, runs or has to be recorded.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        self.running.is_empty() && self.works.values().all(Work::is_idle)
+        self.dispatched.is_empty() && self.shards.values().all(ShardState::is_idle)
     }
 
     /// First segment that has to be kept. The shards of earlier ones may be deleted.
     #[must_use]
-    pub const fn first_kept_segment(&self, clock: UnixMillis) -> u64 {
-        self.cfg.window.first_kept(clock)
+    pub const fn first_retained_segment(&self, clock: UnixMillis) -> u64 {
+        self.cfg.window.first_retained_segment(clock)
     }
 
     /// Attempts that wait, run or have to be recorded.
     #[must_use]
-    pub fn load(&self) -> usize {
-        let work = |work: &Work| work.waiting.len() + work.outbox.len();
-        self.running.len() + self.works.values().map(work).sum::<usize>()
+    pub fn open_attempts(&self) -> usize {
+        let in_shard = |state: &ShardState| state.waiting.len() + state.outbox.len();
+        self.dispatched.len() + self.shards.values().map(in_shard).sum::<usize>()
     }
 
-    fn begin(&mut self, begin: Begin, at: Moment, effects: &mut Effects) {
+    fn begin(&mut self, begin: NewAttempt, at: EventTime, effects: &mut Effects) {
         if let Err(reason) = self.cfg.window.check(&begin.key, at.clock) {
-            return answer(effects, begin.attempt, reason, outcome::Outcome::Unknown);
+            return refuse(effects, begin.attempt, reason, outcome::Outcome::Unknown);
         }
         let shard = self.cfg.shard(&begin.key);
-        let waiting = self.works.get(&shard).map_or(0, |work| work.waiting.len());
-        if waiting >= self.cfg.max_waiting || self.load() >= self.cfg.max_running {
+        let waiting = self
+            .shards
+            .get(&shard)
+            .map_or(0, |state| state.waiting.len());
+        if waiting >= self.cfg.max_waiting || self.open_attempts() >= self.cfg.max_running {
             let reason = reason::Refusal::JournalFull;
-            return answer(effects, begin.attempt, reason, outcome::Outcome::NotRun);
+            return refuse(effects, begin.attempt, reason, outcome::Outcome::NotRun);
         }
         self.evict();
-        self.works.entry(shard).or_default().waiting.push(Waiting {
-            begin,
-            compared: false,
-            exposed: false,
-        });
+        self.shards
+            .entry(shard)
+            .or_default()
+            .waiting
+            .push(WaitingAttempt {
+                begin,
+                read_since_arrival: false,
+                swap_unresolved: false,
+            });
         self.advance(shard, at, effects);
     }
 
-    fn cancel(&mut self, attempt: AttemptId, at: Moment) {
+    fn cancel(&mut self, attempt: AttemptId, at: EventTime) {
         let due = at.now + self.cfg.outcome_linger();
-        for work in self.works.values_mut() {
-            let found = work
+        for state in self.shards.values_mut() {
+            let found = state
                 .waiting
                 .iter()
                 .position(|waiting| waiting.begin.attempt == attempt);
             if let Some(i) = found {
-                let waiting = work.waiting.remove(i);
-                work.abandon(&waiting, due);
+                let waiting = state.waiting.remove(i);
+                state.abandon(&waiting, due);
             }
         }
     }
 
-    fn finished(&mut self, attempt: AttemptId, end: End, at: Moment, effects: &mut Effects) {
-        let Some(key) = self.running.remove(&attempt) else {
+    fn finished(
+        &mut self,
+        attempt: AttemptId,
+        result: AttemptResult,
+        at: EventTime,
+        effects: &mut Effects,
+    ) {
+        let Some(key) = self.dispatched.remove(&attempt) else {
             return;
         };
-        let state = match end {
-            End::NotRun => State::NotRun,
-            End::Unknown => State::Unknown,
-            End::Run(recorded) => State::Run(recorded),
+        let state = match result {
+            AttemptResult::NotRun => State::NotRun,
+            AttemptResult::Unknown => State::Unknown,
+            AttemptResult::Run(recorded) => State::Run(recorded),
         };
         let shard = self.cfg.shard(&key);
         // A caller that was told "not run" may come back at once.
@@ -164,23 +177,23 @@
             State::NotRun => at.now,
             _ => at.now + self.cfg.outcome_linger(),
         };
-        let work = self.works.entry(shard).or_default();
-        work.outbox.push(key.hash, attempt, state, due);
+        let entry = self.shards.entry(shard).or_default();
+        entry.outbox.push(key.hash, attempt, state, due);
         self.advance(shard, at, effects);
     }
 
     /// Takes a call off the calls under way. A late answer to a call that was given up finds none.
-    fn answered(&mut self, call: CallId) -> Option<(ShardId, Call)> {
+    fn take_call(&mut self, call: CallId) -> Option<(ShardId, Call)> {
         let shard = self.calls.remove(&call)?;
-        let (_, under_way) = self.works.get_mut(&shard)?.call.take()?;
-        Some((shard, under_way))
+        let (_, call) = self.shards.get_mut(&shard)?.call.take()?;
+        Some((shard, call))
     }
 
-    fn loaded(&mut self, call: CallId, stored: Stored, at: Moment, effects: &mut Effects) {
-        let Some((shard, _)) = self.answered(call) else {
+    fn loaded(&mut self, call: CallId, stored: StoredShard, at: EventTime, effects: &mut Effects) {
+        let Some((shard, _)) = self.take_call(call) else {
             return;
         };
-        self.works.entry(shard).or_default().learn(stored);
+        self.shards.entry(shard).or_default().update_cached(stored);
         self.advance(shard, at, effects);
     }
 
@@ -188,85 +201,91 @@
         &mut self,
         call: CallId,
         revision: crate::journal::ModRevision,
-        at: Moment,
+        at: EventTime,
         effects: &mut Effects,
     ) {
-        let Some((shard, Call::Swap { content, .. })) = self.answered(call) else {
+        let Some((shard, Call::Swap { content, .. })) = self.take_call(call) else {
             return;
         };
-        let work = self.works.entry(shard).or_default();
-        work.unexpose();
-        work.learn(Stored {
+        let state = self.shards.entry(shard).or_default();
+        state.clear_swap_unresolved();
+        state.update_cached(StoredShard {
             revision,
             shard: content,
         });
         self.advance(shard, at, effects);
     }
 
-    fn conflict(&mut self, call: CallId, stored: Stored, at: Moment, effects: &mut Effects) {
-        let Some((shard, _)) = self.answered(call) else {
+    fn conflict(
+        &mut self,
+        call: CallId,
+        stored: StoredShard,
+        at: EventTime,
+        effects: &mut Effects,
+    ) {
+        let Some((shard, _)) = self.take_call(call) else {
             return;
         };
-        let work = self.works.entry(shard).or_default();
-        work.unexpose();
-        work.learn(stored);
+        let state = self.shards.entry(shard).or_default();
+        state.clear_swap_unresolved();
+        state.update_cached(stored);
         self.advance(shard, at, effects);
     }
 
     /// Reads the shard back after the answer to a swap was lost.
-    fn swap_unknown(&mut self, call: CallId, at: Moment, effects: &mut Effects) {
-        let Some((shard, Call::Swap { batch, .. })) = self.answered(call) else {
+    fn swap_unknown(&mut self, call: CallId, at: EventTime, effects: &mut Effects) {
+        let Some((shard, Call::Swap { batch, .. })) = self.take_call(call) else {
             return;
         };
-        let work = self.works.entry(shard).or_default();
-        work.expose(&batch);
-        work.known = None;
+        let state = self.shards.entry(shard).or_default();
+        state.mark_swap_unresolved(&batch);
+        state.cached = None;
         self.advance(shard, at, effects);
     }
 
     /// Refuses everything that waits for the shard, because the service cannot be reached.
-    fn store_failed(&mut self, call: CallId, at: Moment, effects: &mut Effects) {
-        let Some((shard, _)) = self.answered(call) else {
+    fn store_failed(&mut self, call: CallId, at: EventTime, effects: &mut Effects) {
+        let Some((shard, _)) = self.take_call(call) else {
             return;
         };
         let retry = at.now + self.cfg.outcome_linger();
-        let work = self.works.entry(shard).or_default();
-        work.known = None;
-        for waiting in std::mem::take(&mut work.waiting) {
-            work.abandon(&waiting, retry);
+        let state = self.shards.entry(shard).or_default();
+        state.cached = None;
+        for waiting in std::mem::take(&mut state.waiting) {
+            state.abandon(&waiting, retry);
             let reason = reason::Refusal::StoreUnavailable;
             let attempt = waiting.begin.attempt;
-            answer(effects, attempt, reason, outcome::Outcome::NotRun);
+            refuse(effects, attempt, reason, outcome::Outcome::NotRun);
         }
-        work.outbox.postpone(retry);
+        state.outbox.postpone(retry);
     }
 
-    fn tick(&mut self, at: Moment, effects: &mut Effects) {
-        let first_kept = self.first_kept_segment(at.clock);
-        self.paced.retain(|_, due| *due > at.now);
-        let shards: Vec<ShardId> = self.works.keys().copied().collect();
-        for shard in shards {
+    fn tick(&mut self, at: EventTime, effects: &mut Effects) {
+        let first_retained_segment = self.first_retained_segment(at.clock);
+        self.next_swap.retain(|_, due| *due > at.now);
+        let ids: Vec<ShardId> = self.shards.keys().copied().collect();
+        for shard in ids {
             self.advance(shard, at, effects);
         }
-        self.works
-            .retain(|shard, work| shard.segment >= first_kept || work.is_awaited());
+        self.shards
+            .retain(|shard, state| shard.segment >= first_retained_segment || state.is_awaited());
         self.evict();
     }
 
     /// Drops the content of the oldest shards that nothing waits for.
     fn evict(&mut self) {
-        let idle = |work: &Work| work.is_idle();
-        let cached = self.works.values().filter(|work| idle(work)).count();
+        let idle = |state: &ShardState| state.is_idle();
+        let cached = self.shards.values().filter(|state| idle(state)).count();
         let mut surplus = cached.saturating_sub(self.cfg.max_cached);
-        self.works.retain(|_, work| {
-            let drop = surplus > 0 && idle(work);
+        self.shards.retain(|_, state| {
+            let drop = surplus > 0 && idle(state);
             surplus -= usize::from(drop);
             !drop
         });
     }
 }
 
-pub(super) fn answer(
+pub(super) fn refuse(
     effects: &mut Effects,
     attempt: AttemptId,
     reason: reason::Refusal,
--- a/crates/core/src/journal/mod.rs
+++ b/crates/core/src/journal/mod.rs
@@ -24,13 +24,15 @@
 mod outbox;
 mod record;
 mod shard;
-mod work;
+mod shard_state;
 
 pub use config::{Config, Window};
-pub use event::{Answer, CallId, Effect, Effects, End, Event};
+pub use event::{Answer, AttemptResult, CallId, Effect, Effects, Event};
 pub use key::{ActionKey, AttemptId, Fingerprint, KeyHash, ParseKeyError, UnixMillis};
-pub use machine::{Begin, Journal};
-pub use record::{MAX_KEPT_BODY, MAX_KEPT_TYPE, Record, Recorded, State};
+pub use machine::{Journal, NewAttempt};
+pub use record::{
+    MAX_RECORDED_BODY_BYTES, MAX_RECORDED_CONTENT_TYPE_BYTES, Record, RecordedAnswer, State,
+};
 pub use shard::{
-    DecodeShardError, MAX_SHARD_COST, ModRevision, RECORD_COST, Shard, ShardId, Stored,
+    DecodeShardError, MAX_RECORD_BYTES, MAX_SHARD_BYTES, ModRevision, Shard, ShardId, StoredShard,
 };
--- a/crates/core/src/journal/outbox.rs
+++ b/crates/core/src/journal/outbox.rs
@@ -5,7 +5,7 @@
 
 /// Outcome of an attempt that is not in its record yet.
 #[derive(Clone, Debug, Hash)]
-struct Outcome {
+struct PendingOutcome {
     key: KeyHash,
     attempt: AttemptId,
     state: State,
@@ -14,7 +14,7 @@
 /// Outcomes that wait to be recorded.
 #[derive(Clone, Debug, Default, Hash)]
 pub(super) struct Outbox {
-    outcomes: Vec<Outcome>,
+    outcomes: Vec<PendingOutcome>,
     /// When the most urgent outcome is written even if no reservation shares its swap.
     due: time::Time,
 }
@@ -25,7 +25,7 @@
             true => due,
             false => self.due.min(due),
         };
-        self.outcomes.push(Outcome {
+        self.outcomes.push(PendingOutcome {
             key,
             attempt,
             state,
@@ -47,7 +47,7 @@
 
     /// Drops the outcomes whose reservation is not in the shard: it never took effect, or the
     /// outcome is in the record already.
-    pub(super) fn keep_open(&mut self, shard: &Shard) {
+    pub(super) fn retain_reserved(&mut self, shard: &Shard) {
         self.outcomes
             .retain(|outcome| is_reserved_by(shard, &outcome.key, outcome.attempt));
     }
--- a/crates/core/src/journal/record.rs
+++ b/crates/core/src/journal/record.rs
@@ -6,16 +6,16 @@
 use crate::journal::{AttemptId, Fingerprint, UnixMillis};
 
 /// Longest body that is kept with an outcome, in bytes.
-pub const MAX_KEPT_BODY: usize = 512;
+pub const MAX_RECORDED_BODY_BYTES: usize = 512;
 
 /// Longest content type that is kept with an outcome, in bytes.
-pub const MAX_KEPT_TYPE: usize = 64;
+pub const MAX_RECORDED_CONTENT_TYPE_BYTES: usize = 64;
 
 const DIGEST_LEN: usize = 32;
 
 /// Answer of an action that ran.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
-pub struct Recorded {
+pub struct RecordedAnswer {
     /// HTTP status of the endpoint.
     pub status: u16,
     /// SHA-256 digest of the body.
@@ -26,31 +26,32 @@
     pub body: Option<Bytes>,
 }
 
-impl Recorded {
+impl RecordedAnswer {
     /// Records an answer, with its body if it is short enough.
     #[must_use]
     pub fn new(status: u16, content_type: &Bytes, body: &Bytes) -> Self {
-        let kept = body.len() <= MAX_KEPT_BODY && content_type.len() <= MAX_KEPT_TYPE;
+        let fits = body.len() <= MAX_RECORDED_BODY_BYTES
+            && content_type.len() <= MAX_RECORDED_CONTENT_TYPE_BYTES;
         Self {
             status,
             digest: sha2::Sha256::digest(body).into(),
-            content_type: if kept {
+            content_type: if fits {
                 content_type.clone()
             } else {
                 Bytes::new()
             },
-            body: kept.then(|| body.clone()),
+            body: fits.then(|| body.clone()),
         }
     }
 
     /// Leaves out the body.
-    pub(super) fn without_body(&mut self) {
+    pub(super) fn drop_body(&mut self) {
         self.body = None;
         self.content_type = Bytes::new();
     }
 
     /// Bytes that the body and its type take up.
-    pub(super) fn body_cost(&self) -> usize {
+    pub(super) fn body_len(&self) -> usize {
         self.content_type.len() + self.body.as_ref().map_or(0, Bytes::len)
     }
 }
@@ -62,14 +63,15 @@
     /// The attempt may be dispatched, or has been, by the host that reserved it.
     Reserved {
         /// Time after which the attempt is not dispatched any more.
-        until: UnixMillis,
+        #[serde(rename = "until")]
+        not_after: UnixMillis,
     },
     /// The attempt was proved not to have run. Another attempt may take its place.
     NotRun,
     /// The attempt was dispatched and its fate is not known.
     Unknown,
     /// The attempt ran.
-    Run(Recorded),
+    Run(RecordedAnswer),
 }
 
 /// Record of one action.
--- a/crates/core/src/journal/shard.rs
+++ b/crates/core/src/journal/shard.rs
@@ -9,11 +9,11 @@
 use crate::journal::{KeyHash, Record, State};
 
 /// Bytes that a record takes up at most, its kept body aside.
-pub const RECORD_COST: usize = 128;
+pub const MAX_RECORD_BYTES: usize = 128;
 
 /// Most bytes that the records of a shard take up. A quarter of the value size that the
 /// key-value service takes.
-pub const MAX_SHARD_COST: usize = 256 * 1024;
+pub const MAX_SHARD_BYTES: usize = 256 * 1024;
 
 /// Id of a shard: the segment of key times and the slot of key hashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -79,7 +79,7 @@
 
 /// Content of a shard as the key-value service holds it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Stored {
+pub struct StoredShard {
     /// Revision of the last change.
     pub revision: ModRevision,
     /// The records. Empty if the shard does not exist.
@@ -106,7 +106,7 @@
 }
 
 fn encoding() -> impl bincode::config::Config {
-    bincode::config::standard().with_limit::<MAX_SHARD_COST>()
+    bincode::config::standard().with_limit::<MAX_SHARD_BYTES>()
 }
 
 impl Shard {
@@ -130,14 +130,15 @@
 
     /// Bytes that the records take up at most.
     #[must_use]
-    pub fn cost(&self) -> usize {
-        self.records.values().map(record_cost).sum()
+    pub fn max_encoded_len(&self) -> usize {
+        self.records.values().map(max_record_len).sum()
     }
 
     /// Whether a reservation with the given key fits.
     #[must_use]
     pub fn has_room(&self, key: &KeyHash) -> bool {
-        self.records.contains_key(key) || self.cost() + RECORD_COST <= MAX_SHARD_COST
+        self.records.contains_key(key)
+            || self.max_encoded_len() + MAX_RECORD_BYTES <= MAX_SHARD_BYTES
     }
 
     /// Sets a record.
@@ -148,9 +149,9 @@
     /// Ends a reservation. Leaves out the answer's body if it does not fit.
     pub(super) fn end(&mut self, key: &KeyHash, mut state: State) {
         if let State::Run(recorded) = &mut state
-            && self.cost() + recorded.body_cost() > MAX_SHARD_COST
+            && self.max_encoded_len() + recorded.body_len() > MAX_SHARD_BYTES
         {
-            recorded.without_body();
+            recorded.drop_body();
         }
         if let Some(record) = self.records.get_mut(key) {
             record.state = state;
@@ -161,7 +162,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the records are larger than [`MAX_SHARD_COST`].
+    /// Returns an error if the records are larger than [`MAX_SHARD_BYTES`].
     pub fn encode(&self) -> Result<Bytes, DecodeShardError> {
         bincode::serde::encode_to_vec(self, encoding())
             .map(Bytes::from)
@@ -186,9 +187,9 @@
     }
 }
 
-fn record_cost(record: &Record) -> usize {
+fn max_record_len(record: &Record) -> usize {
     match &record.state {
-        State::Run(recorded) => RECORD_COST + recorded.body_cost(),
-        State::Reserved { .. } | State::NotRun | State::Unknown => RECORD_COST,
+        State::Run(recorded) => MAX_RECORD_BYTES + recorded.body_len(),
+        State::Reserved { .. } | State::NotRun | State::Unknown => MAX_RECORD_BYTES,
     }
 }
--- a/crates/core/src/journal/work.rs
+++ b/crates/core/src/journal/shard_state.rs
@@ -4,8 +4,8 @@
 
 use crate::journal::outbox::Outbox;
 use crate::journal::{
-    Answer, AttemptId, Begin, CallId, Fingerprint, Record, Recorded, Shard, State, Stored,
-    UnixMillis,
+    Answer, AttemptId, CallId, Fingerprint, NewAttempt, Record, RecordedAnswer, Shard, State,
+    StoredShard, UnixMillis,
 };
 use crate::{outcome, reason, time};
 
@@ -14,12 +14,12 @@
 
 /// An attempt that waits for its reservation.
 #[derive(Clone, Debug, Hash)]
-pub(super) struct Waiting {
-    pub(super) begin: Begin,
+pub(super) struct WaitingAttempt {
+    pub(super) begin: NewAttempt,
     /// Whether the shard was read since the attempt came.
-    pub(super) compared: bool,
+    pub(super) read_since_arrival: bool,
     /// Whether a swap that reserves the attempt may take effect without being confirmed.
-    pub(super) exposed: bool,
+    pub(super) swap_unresolved: bool,
 }
 
 /// Call to the key-value service that is under way.
@@ -38,32 +38,32 @@
 
 /// What becomes of a waiting attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
+pub(super) enum Disposition {
     /// Its reservation is in the shard.
     Confirmed,
     /// It is reserved by the next swap.
     Reserve,
     /// Another attempt of the key is reserved by the next swap.
-    Later,
+    Defer,
     /// The shard has to be read first.
-    Read,
+    ReadFirst,
     /// It is answered without being dispatched.
     Answer(Answer),
 }
 
 /// Work of one host at one shard.
 #[derive(Clone, Debug, Default, Hash)]
-pub(super) struct Work {
+pub(super) struct ShardState {
     /// Content that the shard had when it was last read or changed by this host.
-    pub(super) known: Option<Stored>,
+    pub(super) cached: Option<StoredShard>,
     /// Attempts that wait, in the order in which they came.
-    pub(super) waiting: Vec<Waiting>,
+    pub(super) waiting: Vec<WaitingAttempt>,
     pub(super) outbox: Outbox,
     /// Call under way. Invariant: at most one, so that swaps of one host never compete.
     pub(super) call: Option<(CallId, Call)>,
 }
 
-impl Work {
+impl ShardState {
     /// Whether nothing waits and no call is under way.
     pub(super) fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.outbox.len() == 0 && self.call.is_none()
@@ -75,48 +75,48 @@
     }
 
     /// Takes the content that the shard had after everything that waits had come.
-    pub(super) fn learn(&mut self, stored: Stored) {
+    pub(super) fn update_cached(&mut self, stored: StoredShard) {
         for waiting in &mut self.waiting {
-            waiting.compared = true;
+            waiting.read_since_arrival = true;
         }
-        self.outbox.keep_open(&stored.shard);
-        self.known = Some(stored);
+        self.outbox.retain_reserved(&stored.shard);
+        self.cached = Some(stored);
     }
 
     /// Marks the attempts of a swap that may take effect without being confirmed.
-    pub(super) fn expose(&mut self, batch: &[AttemptId]) {
+    pub(super) fn mark_swap_unresolved(&mut self, batch: &[AttemptId]) {
         for waiting in &mut self.waiting {
-            waiting.exposed |= batch.contains(&waiting.begin.attempt);
+            waiting.swap_unresolved |= batch.contains(&waiting.begin.attempt);
         }
     }
 
     /// Records that no earlier swap can take effect any more.
-    pub(super) fn unexpose(&mut self) {
+    pub(super) fn clear_swap_unresolved(&mut self) {
         for waiting in &mut self.waiting {
-            waiting.exposed = false;
+            waiting.swap_unresolved = false;
         }
     }
 
     /// Whether the reservation of a waiting attempt may be in the shard or get into it.
-    pub(super) fn may_be_reserved(&self, waiting: &Waiting) -> bool {
-        let Begin { attempt, key, .. } = waiting.begin;
+    pub(super) fn may_be_reserved(&self, waiting: &WaitingAttempt) -> bool {
+        let NewAttempt { attempt, key, .. } = waiting.begin;
         let record = self
-            .known
+            .cached
             .as_ref()
-            .and_then(|known| known.shard.get(&key.hash));
+            .and_then(|cached| cached.shard.get(&key.hash));
         let in_shard = record.is_some_and(|record| record.attempt == attempt);
         let in_swap = match &self.call {
             Some((_, Call::Swap { batch, .. })) => batch.contains(&attempt),
             Some((_, Call::Read)) | None => false,
         };
-        waiting.exposed || in_shard || in_swap
+        waiting.swap_unresolved || in_shard || in_swap
     }
 
     /// Gives up a waiting attempt. If its reservation may be in the shard, the record is ended as
     /// not run, which is true because the attempt is never dispatched.
-    pub(super) fn abandon(&mut self, waiting: &Waiting, due: time::Time) {
+    pub(super) fn abandon(&mut self, waiting: &WaitingAttempt, due: time::Time) {
         if self.may_be_reserved(waiting) {
-            let Begin { attempt, key, .. } = waiting.begin;
+            let NewAttempt { attempt, key, .. } = waiting.begin;
             self.outbox.push(key.hash, attempt, State::NotRun, due);
         }
     }
@@ -124,50 +124,50 @@
 
 /// Decides what becomes of a waiting attempt, given the content of the shard with the
 /// reservations of the next swap.
-pub(super) fn judge(
-    waiting: &Waiting,
-    known: &Shard,
+pub(super) fn decide(
+    waiting: &WaitingAttempt,
+    cached: &Shard,
     next: &Shard,
     clock: UnixMillis,
     skew_ms: u64,
-) -> Verdict {
+) -> Disposition {
     let begin = &waiting.begin;
-    let Some(record) = known.get(&begin.key.hash) else {
-        return reserve_in(next, begin);
+    let Some(record) = cached.get(&begin.key.hash) else {
+        return reserve_unless_taken(next, begin);
     };
     if record.fingerprint != begin.fingerprint {
         return refuse(reason::Refusal::KeyReused, outcome::Outcome::NotRun, None);
     }
     match &record.state {
-        State::Reserved { .. } if record.attempt == begin.attempt => Verdict::Confirmed,
-        State::Reserved { .. } if !waiting.compared => Verdict::Read,
-        State::Reserved { until } => pending(*until, clock, skew_ms),
-        State::NotRun => reserve_in(next, begin),
+        State::Reserved { .. } if record.attempt == begin.attempt => Disposition::Confirmed,
+        State::Reserved { .. } if !waiting.read_since_arrival => Disposition::ReadFirst,
+        State::Reserved { not_after } => refuse_pending(*not_after, clock, skew_ms),
+        State::NotRun => reserve_unless_taken(next, begin),
         State::Unknown => refuse(
             reason::Refusal::ActionUnknown,
             outcome::Outcome::Unknown,
             None,
         ),
-        State::Run(recorded) => Verdict::Answer(replay(recorded)),
+        State::Run(recorded) => Disposition::Answer(replay(recorded)),
     }
 }
 
 /// Reserves the attempt unless the next swap already reserves another one for the key.
-fn reserve_in(next: &Shard, begin: &Begin) -> Verdict {
+fn reserve_unless_taken(next: &Shard, begin: &NewAttempt) -> Disposition {
     let taken = next
         .get(&begin.key.hash)
         .is_some_and(|record| matches!(record.state, State::Reserved { .. }));
     if taken {
-        Verdict::Later
+        Disposition::Defer
     } else {
-        Verdict::Reserve
+        Disposition::Reserve
     }
 }
 
 /// Answer while another attempt holds the reservation.
-fn pending(until: UnixMillis, clock: UnixMillis, skew_ms: u64) -> Verdict {
+fn refuse_pending(not_after: UnixMillis, clock: UnixMillis, skew_ms: u64) -> Disposition {
     let outcome = outcome::Outcome::Unknown;
-    if clock > until.plus(2 * skew_ms) {
+    if clock > not_after.plus(2 * skew_ms) {
         return refuse(reason::Refusal::ActionUnknown, outcome, None);
     }
     refuse(
@@ -177,7 +177,7 @@
     )
 }
 
-fn replay(recorded: &Recorded) -> Answer {
+fn replay(recorded: &RecordedAnswer) -> Answer {
     if recorded.body.is_some() {
         return Answer::Recorded(recorded.clone());
     }
@@ -192,8 +192,8 @@
     reason: reason::Refusal,
     outcome: outcome::Outcome,
     retry_after: Option<Duration>,
-) -> Verdict {
-    Verdict::Answer(Answer::Refused {
+) -> Disposition {
+    Disposition::Answer(Answer::Refused {
         reason,
         outcome,
         retry_after,
@@ -201,11 +201,13 @@
 }
 
 /// The record that reserves an attempt.
-pub(super) fn reservation(begin: &Begin) -> Record {
+pub(super) fn reservation(begin: &NewAttempt) -> Record {
     let fingerprint: Fingerprint = begin.fingerprint;
     Record {
         fingerprint,
         attempt: begin.attempt,
-        state: State::Reserved { until: begin.until },
+        state: State::Reserved {
+            not_after: begin.not_after,
+        },
     }
 }
--- a/crates/core/tests/journal.rs
+++ b/crates/core/tests/journal.rs
@@ -24,20 +24,20 @@
     }
 }
 
-fn begin(number: u8, key: u8) -> journal::Begin {
-    journal::Begin {
+fn begin(number: u8, key: u8) -> journal::NewAttempt {
+    journal::NewAttempt {
         attempt: journal::AttemptId([number; 16]),
         key: journal::ActionKey {
             hash: journal::KeyHash([key; 16]),
-            at: CLOCK,
+            issued_at: CLOCK,
         },
         fingerprint: journal::Fingerprint([0; 16]),
-        until: CLOCK.plus(30_000),
+        not_after: CLOCK.plus(30_000),
     }
 }
 
-fn stored(revision: u64, shard: journal::Shard) -> journal::Stored {
-    journal::Stored {
+fn stored(revision: u64, shard: journal::Shard) -> journal::StoredShard {
+    journal::StoredShard {
         revision: journal::ModRevision(revision),
         shard,
     }
@@ -46,7 +46,7 @@
 /// A journal with a service that answers every call at once.
 struct Served {
     journal: journal::Journal,
-    store: BTreeMap<journal::ShardId, journal::Stored>,
+    store: BTreeMap<journal::ShardId, journal::StoredShard>,
     revision: u64,
     swaps: usize,
 }
@@ -102,7 +102,7 @@
                 self.revision += 1;
                 self.swaps += 1;
                 let revision = journal::ModRevision(self.revision);
-                *stored = journal::Stored {
+                *stored = journal::StoredShard {
                     revision,
                     shard: content.clone(),
                 };
@@ -145,10 +145,10 @@
     let first = served.give(Event::Begin(begin(1, 7)), NOW);
     assert!(matches!(first[..], [Effect::Dispatch { .. }]));
     let body = Bytes::from_static(b"booked");
-    let recorded = journal::Recorded::new(201, &Bytes::from_static(b"text/plain"), &body);
+    let recorded = journal::RecordedAnswer::new(201, &Bytes::from_static(b"text/plain"), &body);
     let finished = Event::Finished {
         attempt: begin(1, 7).attempt,
-        end: journal::End::Run(recorded.clone()),
+        result: journal::AttemptResult::Run(recorded.clone()),
     };
     assert!(served.give(finished, NOW).is_empty());
     assert!(served.journal.is_idle());
@@ -173,7 +173,7 @@
 fn another_body_is_refused() {
     let mut served = Served::new(one_slot());
     served.give(Event::Begin(begin(1, 7)), NOW);
-    let other = journal::Begin {
+    let other = journal::NewAttempt {
         fingerprint: journal::Fingerprint([9; 16]),
         ..begin(2, 7)
     };
@@ -189,7 +189,7 @@
     served.give(Event::Begin(begin(1, 7)), NOW);
     let finished = Event::Finished {
         attempt: begin(1, 7).attempt,
-        end: journal::End::NotRun,
+        result: journal::AttemptResult::NotRun,
     };
     served.give(finished, NOW);
     let repeat = served.give(Event::Begin(begin(2, 7)), NOW);
@@ -200,10 +200,14 @@
 fn a_long_answer_is_not_replayed() {
     let mut served = Served::new(one_slot());
     served.give(Event::Begin(begin(1, 7)), NOW);
-    let body = Bytes::from(vec![0; journal::MAX_KEPT_BODY + 1]);
+    let body = Bytes::from(vec![0; journal::MAX_RECORDED_BODY_BYTES + 1]);
     let finished = Event::Finished {
         attempt: begin(1, 7).attempt,
-        end: journal::End::Run(journal::Recorded::new(200, &Bytes::new(), &body)),
+        result: journal::AttemptResult::Run(journal::RecordedAnswer::new(
+            200,
+            &Bytes::new(),
+            &body,
+        )),
     };
     served.give(finished, NOW);
     let repeat = served.give(Event::Begin(begin(2, 7)), NOW);
@@ -262,7 +266,7 @@
 #[test]
 fn a_full_shard_refuses_and_keeps_its_records() {
     let mut served = Served::new(one_slot());
-    let capacity = journal::MAX_SHARD_COST / journal::RECORD_COST;
+    let capacity = journal::MAX_SHARD_BYTES / journal::MAX_RECORD_BYTES;
     let numbered = |i: usize| {
         let mut id = [0; 16];
         id[..8].copy_from_slice(&i.to_le_bytes());
@@ -275,7 +279,7 @@
         served.give(Event::Begin(numbered(i)), NOW);
         let finished = Event::Finished {
             attempt: numbered(i).attempt,
-            end: journal::End::Unknown,
+            result: journal::AttemptResult::Unknown,
         };
         served.give(finished, NOW);
     }
@@ -285,19 +289,19 @@
     let kept = served.store.values().next().expect("a shard");
     assert_eq!(kept.shard.len(), capacity);
     let encoded = kept.shard.encode().expect("within the bound");
-    assert!(encoded.len() <= journal::MAX_SHARD_COST);
+    assert!(encoded.len() <= journal::MAX_SHARD_BYTES);
 }
 
 #[test]
 fn keys_outside_the_window_are_refused() {
     let mut served = Served::new(one_slot());
     let mut old = begin(1, 1);
-    old.key.at = journal::UnixMillis(CLOCK.0 - one_slot().window.retention_ms - 1);
+    old.key.issued_at = journal::UnixMillis(CLOCK.0 - one_slot().window.retention_ms - 1);
     let expired = served.give(Event::Begin(old), NOW);
     let expected = (reason::Refusal::KeyExpired, outcome::Outcome::Unknown);
     assert_eq!(refusal(&expired), Some(expected));
     let mut ahead = begin(2, 2);
-    ahead.key.at = CLOCK.plus(one_slot().window.ahead_ms + 1);
+    ahead.key.issued_at = CLOCK.plus(one_slot().window.ahead_ms + 1);
     let early = served.give(Event::Begin(ahead), NOW);
     let expected = (reason::Refusal::KeyAhead, outcome::Outcome::Unknown);
     assert_eq!(refusal(&early), Some(expected));
@@ -310,7 +314,7 @@
     let timestamp = uuid::Timestamp::from_unix_time(1_700_000_000, 500_000_000, 0, 0);
     let key = uuid::Uuid::new_v7(timestamp);
     let taken = journal::ActionKey::new(&account, key).expect("a UUIDv7");
-    assert_eq!(taken.at, journal::UnixMillis(1_700_000_000_500));
+    assert_eq!(taken.issued_at, journal::UnixMillis(1_700_000_000_500));
     let elsewhere = journal::ActionKey::new(&other, key).expect("a UUIDv7");
     assert_ne!(taken.hash, elsewhere.hash);
     let v4 = uuid::Uuid::from_u128(0x1234_5678_9abc_4def_8123_4567_89ab_cdef);
@@ -329,11 +333,11 @@
         let window = journal::Window::default();
         let key = journal::ActionKey {
             hash: journal::KeyHash([0; 16]),
-            at: journal::UnixMillis(key_ms),
+            issued_at: journal::UnixMillis(key_ms),
         };
         let deleter = journal::UnixMillis(clock_ms.saturating_add_signed(skews.0));
         let other = journal::UnixMillis(clock_ms.saturating_add_signed(skews.1));
-        if window.segment(&key) < window.first_kept(deleter) {
+        if window.segment(&key) < window.first_retained_segment(deleter) {
             prop_assert_eq!(window.check(&key, other), Err(reason::Refusal::KeyExpired));
         }
     }
--- a/crates/measure/src/actions/action.rs
+++ b/crates/measure/src/actions/action.rs
@@ -126,7 +126,7 @@
                 actions.push(Action::Prune(i));
             }
             let due = host.journal.wakeup().is_some_and(|due| due <= self.now());
-            let waits = host.phase < self.phase && host.journal.load() > 0;
+            let waits = host.phase < self.phase && host.journal.open_attempts() > 0;
             if due || waits {
                 actions.push(Action::Tick(i));
             }
--- a/crates/measure/src/actions/apply.rs
+++ b/crates/measure/src/actions/apply.rs
@@ -38,7 +38,7 @@
             Action::Dispatch(i) => self.dispatch(i)?,
             Action::ConnectFails(i) => {
                 self.left.endpoint_faults -= 1;
-                self.finish(i, journal::End::NotRun)?;
+                self.finish(i, journal::AttemptResult::NotRun)?;
             }
             Action::ConnectionLost(i) => self.connection_lost(i)?,
             Action::Answer(i) => self.answer(i)?,
@@ -194,7 +194,7 @@
         let revision = journal::ModRevision(self.revision);
         let shard = content.clone();
         self.store
-            .insert(call.shard, journal::Stored { revision, shard });
+            .insert(call.shard, journal::StoredShard { revision, shard });
         Answered::Swapped(call.id, revision)
     }
 
@@ -254,7 +254,7 @@
             return Ok(());
         };
         if self.clock_seen(self.requests[i].host) > not_after {
-            return self.finish(i, journal::End::NotRun);
+            return self.finish(i, journal::AttemptResult::NotRun);
         }
         let req = &mut self.requests[i];
         req.stage = Stage::Ran;
@@ -264,32 +264,32 @@
 
     fn connection_lost(&mut self, i: usize) -> Result<(), Violation> {
         self.left.endpoint_faults -= 1;
-        let end = match self.variant {
-            Variant::LostDispatchIsNotRun => journal::End::NotRun,
-            _ => journal::End::Unknown,
+        let result = match self.variant {
+            Variant::LostDispatchIsNotRun => journal::AttemptResult::NotRun,
+            _ => journal::AttemptResult::Unknown,
         };
-        self.finish(i, end)
+        self.finish(i, result)
     }
 
     fn answer(&mut self, i: usize) -> Result<(), Violation> {
         let status = STATUS_BASE + i as u16;
         let body = Bytes::from_static(b"done");
-        let recorded = journal::Recorded::new(status, &Bytes::new(), &body);
-        self.finish(i, journal::End::Run(recorded))
+        let recorded = journal::RecordedAnswer::new(status, &Bytes::new(), &body);
+        self.finish(i, journal::AttemptResult::Run(recorded))
     }
 
     /// Ends a request that was permitted, at its caller and in the journal.
-    fn finish(&mut self, i: usize, end: journal::End) -> Result<(), Violation> {
+    fn finish(&mut self, i: usize, result: journal::AttemptResult) -> Result<(), Violation> {
         let req = &mut self.requests[i];
         req.stage = Stage::Over;
-        req.told = Some(match &end {
-            journal::End::NotRun => outcome::Outcome::NotRun,
-            journal::End::Unknown => outcome::Outcome::Unknown,
-            journal::End::Run(_) => outcome::Outcome::Run,
+        req.told = Some(match &result {
+            journal::AttemptResult::NotRun => outcome::Outcome::NotRun,
+            journal::AttemptResult::Unknown => outcome::Outcome::Unknown,
+            journal::AttemptResult::Run(_) => outcome::Outcome::Run,
         });
         let host = req.host;
         let attempt = attempt_id(i);
-        self.event(host, journal::Event::Finished { attempt, end })
+        self.event(host, journal::Event::Finished { attempt, result })
     }
 
     fn cancel(&mut self, i: usize) -> Result<(), Violation> {
@@ -330,7 +330,7 @@
         if self.variant == Variant::PruneWithoutSkew {
             window.skew_ms = 0;
         }
-        window.first_kept(self.clock(host))
+        window.first_retained_segment(self.clock(host))
     }
 
     fn prune(&mut self, host: usize) {
--- a/crates/measure/src/actions/load.rs
+++ b/crates/measure/src/actions/load.rs
@@ -91,7 +91,7 @@
     hosts: Vec<journal::Journal>,
     /// Next tick of each host.
     ticks: Vec<Option<time::Time>>,
-    store: BTreeMap<journal::ShardId, journal::Stored>,
+    store: BTreeMap<journal::ShardId, journal::StoredShard>,
     revision: u64,
     arrived: Vec<time::Time>,
     waits_ms: Vec<f64>,
@@ -158,14 +158,14 @@
         let mut attempt = [0; 16];
         attempt[..8].copy_from_slice(&number.to_le_bytes());
         let clock = wall(now);
-        let begin = journal::Begin {
+        let begin = journal::NewAttempt {
             attempt: journal::AttemptId(attempt),
             key: journal::ActionKey {
                 hash: journal::KeyHash(self.rng.random()),
-                at: clock,
+                issued_at: clock,
             },
             fingerprint: journal::Fingerprint(self.rng.random()),
-            until: clock.plus(30_000),
+            not_after: clock.plus(30_000),
         };
         let host = match self.writers {
             Writers::PerSlot => usize::from(self.cfg.shard(&begin.key).slot),
@@ -207,8 +207,12 @@
                     .push(now.since(arrived).as_secs_f64() * 1_000.0);
                 let body = Bytes::from_static(b"{\"booking\":\"0123456789abcdef\"}");
                 let content_type = Bytes::from_static(b"application/json");
-                let end = journal::End::Run(journal::Recorded::new(200, &content_type, &body));
-                let finished = journal::Event::Finished { attempt, end };
+                let result = journal::AttemptResult::Run(journal::RecordedAnswer::new(
+                    200,
+                    &content_type,
+                    &body,
+                ));
+                let finished = journal::Event::Finished { attempt, result };
                 self.schedule(now + ACTION_TIME, Due::AtHost(host, finished));
             }
             journal::Effect::Answer { .. } => self.refused += 1,
--- a/crates/measure/src/actions/world.rs
+++ b/crates/measure/src/actions/world.rs
@@ -96,10 +96,10 @@
 /// What the service answered, or that no answer came.
 #[derive(Clone, Debug, Hash)]
 pub(super) enum Answered {
-    Loaded(journal::CallId, journal::Stored),
+    Loaded(journal::CallId, journal::StoredShard),
     ReadFailed(journal::CallId),
     Swapped(journal::CallId, journal::ModRevision),
-    Conflict(journal::CallId, journal::Stored),
+    Conflict(journal::CallId, journal::StoredShard),
     SwapFailed(journal::CallId),
     SwapUnknown(journal::CallId),
 }
@@ -163,7 +163,7 @@
     /// Index in the phases of the scope.
     pub(super) phase: usize,
     pub(super) hosts: Vec<Host>,
-    pub(super) store: BTreeMap<journal::ShardId, journal::Stored>,
+    pub(super) store: BTreeMap<journal::ShardId, journal::StoredShard>,
     pub(super) revision: u64,
     pub(super) calls: Vec<Call>,
     /// Swaps whose author has given up waiting, which may still take effect.
@@ -228,13 +228,13 @@
         PHASES_MS[self.left.phases[self.phase]]
     }
 
-    pub(super) fn begin_event(&self, attempt: usize) -> journal::Begin {
+    pub(super) fn begin_event(&self, attempt: usize) -> journal::NewAttempt {
         let req = &self.requests[attempt];
-        journal::Begin {
+        journal::NewAttempt {
             attempt: attempt_id(attempt),
             key: action_key(req.key),
             fingerprint: req.fingerprint,
-            until: req.came.plus(PATIENCE_MS),
+            not_after: req.came.plus(PATIENCE_MS),
         }
     }
 
@@ -268,7 +268,7 @@
 fn action_key(key: u8) -> journal::ActionKey {
     journal::ActionKey {
         hash: journal::KeyHash([key; 16]),
-        at: KEY_AT,
+        issued_at: KEY_AT,
     }
 }
 
--- a/crates/measure/src/slopes/roles.rs
+++ b/crates/measure/src/slopes/roles.rs
@@ -462,7 +462,7 @@
     let call = read.ok_or_eyre("the journal reads its shard")?;
     let loaded = journal::Event::Loaded {
         call,
-        stored: journal::Stored::default(),
+        stored: journal::StoredShard::default(),
     };
     let effects = journal.handle(loaded, now, clock);
     let swap = effects.into_iter().find_map(|effect| match effect {
@@ -475,17 +475,17 @@
 /// Time in the keys of the shard, in milliseconds of Unix time.
 const KEY_MILLIS: u64 = 1_700_000_000_000;
 
-fn begin(i: usize) -> eyre::Result<journal::Begin> {
+fn begin(i: usize) -> eyre::Result<journal::NewAttempt> {
     let uuid = uuid::Builder::from_unix_timestamp_millis(
         KEY_MILLIS,
         &(i as u128).to_be_bytes()[6..].try_into()?,
     )
     .into_uuid();
-    Ok(journal::Begin {
+    Ok(journal::NewAttempt {
         attempt: journal::AttemptId::new(uuid),
         key: journal::ActionKey::new(&account(i), uuid)?,
         fingerprint: journal::Fingerprint::of(b"/book", &i.to_le_bytes()),
-        until: journal::UnixMillis(KEY_MILLIS + 60_000),
+        not_after: journal::UnixMillis(KEY_MILLIS + 60_000),
     })
 }
 
--- a/crates/runtime/src/endpoint/pieces.rs
+++ b/crates/runtime/src/endpoint/pieces.rs
@@ -56,10 +56,10 @@
 
     /// The answer that was kept.
     #[must_use]
-    pub fn recorded(&self) -> Option<journal::Recorded> {
+    pub fn recorded(&self) -> Option<journal::RecordedAnswer> {
         let kept = self.kept.as_ref()?;
         let body = Bytes::copy_from_slice(&kept.body);
-        let recorded = journal::Recorded::new(kept.status, &kept.content_type, &body);
+        let recorded = journal::RecordedAnswer::new(kept.status, &kept.content_type, &body);
         Some(recorded)
     }
 
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// Returns [`Gone`] if the receiver went away.
-    pub fn replay(mut self, recorded: &journal::Recorded) -> Result<(), Gone> {
+    pub fn replay(mut self, recorded: &journal::RecordedAnswer) -> Result<(), Gone> {
         self.head(recorded.status, recorded.content_type.clone())?;
         self.chunk(recorded.body.clone().unwrap_or_default(), None)?;
         self.end(None)
--- a/crates/runtime/src/journal/mod.rs
+++ b/crates/runtime/src/journal/mod.rs
@@ -35,7 +35,7 @@
 
 pub(crate) enum Command {
     Begin {
-        begin: journal::Begin,
+        begin: journal::NewAttempt,
         tx: channel::Sender<Decision>,
     },
     Event(journal::Event),
--- a/crates/runtime/src/journal/store.rs
+++ b/crates/runtime/src/journal/store.rs
@@ -136,11 +136,11 @@
 }
 
 /// Content of the one shard that was read, or `None` if its value is not a shard.
-fn stored(found: &key_value::Found) -> Option<journal::Stored> {
+fn stored(found: &key_value::Found) -> Option<journal::StoredShard> {
     let Some(entry) = found.entries.first() else {
-        return Some(journal::Stored::default());
+        return Some(journal::StoredShard::default());
     };
-    Some(journal::Stored {
+    Some(journal::StoredShard {
         revision: journal::ModRevision(entry.modified.0),
         shard: journal::Shard::decode(&entry.value).ok()?,
     })
--- a/crates/runtime/src/journal/wait.rs
+++ b/crates/runtime/src/journal/wait.rs
@@ -43,9 +43,10 @@
 
 impl Permit {
     /// Uses the permission up and records how the attempt ended.
-    pub fn close(self, end: journal::End) {
+    pub fn close(self, result: journal::AttemptResult) {
         let attempt = self.attempt;
-        self.handle.event(journal::Event::Finished { attempt, end });
+        self.handle
+            .event(journal::Event::Finished { attempt, result });
     }
 }
 
@@ -66,12 +67,12 @@
             return Reservation::Dropped;
         };
         let attempt = journal::AttemptId::new(uuid::Uuid::now_v7());
-        let until = wall_clock().plus(head.remaining.as_millis() as u64);
-        let begin = journal::Begin {
+        let not_after = wall_clock().plus(head.remaining.as_millis() as u64);
+        let begin = journal::NewAttempt {
             attempt,
             key,
             fingerprint: journal::Fingerprint::of(&head.path, body),
-            until,
+            not_after,
         };
         let (tx, rx) = channel::bounded(1);
         if self.tx.send(Command::Begin { begin, tx }).is_err() {
@@ -102,8 +103,8 @@
                     self.event(journal::Event::Cancel(attempt));
                     // A decision that was made before the cancellation is used up here.
                     if let Ok(Decision::Dispatch { .. }) = rx.recv() {
-                        let end = journal::End::NotRun;
-                        self.event(journal::Event::Finished { attempt, end });
+                        let result = journal::AttemptResult::NotRun;
+                        self.event(journal::Event::Finished { attempt, result });
                     }
                     return None;
                 }
@@ -118,7 +119,7 @@
         if wall_clock() <= not_after {
             return Reservation::Permitted(permit);
         }
-        permit.close(journal::End::NotRun);
+        permit.close(journal::AttemptResult::NotRun);
         Reservation::Dropped
     }
 
--- a/crates/runtime/src/owner/mod.rs
+++ b/crates/runtime/src/owner/mod.rs
@@ -224,15 +224,15 @@
 }
 
 /// How an action ended, for its record. An action whose answer is not whole may have run.
-fn end_of(ended: &endpoint::Ended, pieces: &endpoint::Pieces) -> actions::End {
+fn end_of(ended: &endpoint::Ended, pieces: &endpoint::Pieces) -> actions::AttemptResult {
     match ended {
         endpoint::Ended::Whole { .. } => pieces
             .recorded()
-            .map_or(actions::End::Unknown, actions::End::Run),
+            .map_or(actions::AttemptResult::Unknown, actions::AttemptResult::Run),
         endpoint::Ended::Failed(failure) if failure.outcome == outcome::Outcome::NotRun => {
-            actions::End::NotRun
+            actions::AttemptResult::NotRun
         }
-        endpoint::Ended::Failed(_) => actions::End::Unknown,
+        endpoint::Ended::Failed(_) => actions::AttemptResult::Unknown,
     }
 }
 
