--- a/crates/core/src/directory/endpoint.rs
+++ b/crates/core/src/directory/endpoint.rs
@@ -21,20 +21,21 @@
     /// Id that the endpoint gave itself.
     pub id: Arc<str>,
     /// Start of this life, in milliseconds since the Unix epoch; 0 if it was not told.
-    pub born: u64,
+    #[serde(rename = "born")]
+    pub started_at_ms: u64,
 }
 
 impl Identity {
     /// Hash that every host computes alike.
     #[must_use]
     pub fn hash(&self) -> u64 {
-        xxhash_rust::xxh3::xxh3_64_with_seed(self.id.as_bytes(), self.born)
+        xxhash_rust::xxh3::xxh3_64_with_seed(self.id.as_bytes(), self.started_at_ms)
     }
 }
 
 impl fmt::Display for Identity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}@{}", self.id, self.born)
+        write!(f, "{}@{}", self.id, self.started_at_ms)
     }
 }
 
@@ -60,7 +61,7 @@
 impl Endpoint {
     /// Whether both describe the same endpoint, whenever they were written.
     #[must_use]
-    pub fn serves_like(&self, other: &Self) -> bool {
+    pub fn eq_ignoring_heartbeat(&self, other: &Self) -> bool {
         let Self {
             identity,
             service,
@@ -82,7 +83,7 @@
     /// write that was held up on its way may come after the writes that followed it.
     #[must_use]
     pub fn is_older_than(&self, other: &Self) -> bool {
-        let age = |endpoint: &Self| (endpoint.identity.born, endpoint.heartbeat);
+        let age = |endpoint: &Self| (endpoint.identity.started_at_ms, endpoint.heartbeat);
         self.identity.id == other.identity.id && age(self) < age(other)
     }
 }
--- a/crates/core/src/directory/mod.rs
+++ b/crates/core/src/directory/mod.rs
@@ -3,16 +3,16 @@
 //! Each record carries the revision at which the store wrote it, and a record gives way only to a
 //! newer one, so late events and peers that are behind change nothing. Entries that vanish around
 //! an outage of the store may belong to endpoints that live on and could not renew them: they stay
-//! in use until the store has been back for [`LAPSE_GRACE`]. A removal in calm times, and an
+//! in use until the store has been back for [`RENEWAL_GRACE`]. A removal in calm times, and an
 //! endpoint that says that it is leaving, take effect at once.
 
 mod endpoint;
-mod outage;
 mod record;
+mod store_outage;
 
 pub use endpoint::{Endpoint, Identity, State};
-pub use outage::{LAPSE_GRACE, Outage, Witness};
 pub use record::Record;
+pub use store_outage::{RENEWAL_GRACE, StoreObservation, StoreOutage};
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 
 /// Longest time that the record of a removed endpoint is kept, so that an older entry of it that
 /// arrives late is known to be older.
-pub const REMOVED_KEPT: std::time::Duration = std::time::Duration::from_secs(60);
+pub const TOMBSTONE_RETENTION: std::time::Duration = std::time::Duration::from_secs(60);
 
 /// Who tells of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,11 +37,11 @@
 pub struct Directory {
     records: HashMap<Arc<str>, Record>,
     /// All changes of the endpoints in use, up to and with this revision, are known.
-    complete: revision::Revision,
+    complete_revision: revision::Revision,
     /// Revision of the last known change of the endpoints in use. Most entries change without
     /// one, since endpoints write them again and again.
-    changed: revision::Revision,
-    outage: Outage,
+    last_change: revision::Revision,
+    outage: StoreOutage,
 }
 
 impl Directory {
@@ -57,13 +57,13 @@
     ) -> bool {
         if source == Source::Store {
             // What the store tells shows that it answers, whatever other calls came to.
-            self.outage.note(true, now);
+            self.outage.record_call(true, now);
         }
         let known = self.records.get(key);
         if known.is_some_and(|r| r.revision >= revision) {
             return false;
         }
-        let last = known.and_then(|r| r.last.clone());
+        let last = known.and_then(|r| r.last_endpoint.clone());
         let is_late = |endpoint: &Arc<Endpoint>| {
             last.as_ref()
                 .is_some_and(|last| endpoint.is_older_than(last))
@@ -74,14 +74,18 @@
                 Record::new(revision, kept, last, now)
             }
             Some(endpoint) => Record::new(revision, Some(endpoint.clone()), Some(endpoint), now),
-            None => match known.and_then(|r| r.lapse(revision, now)) {
-                Some(lapse) if source == Source::Store && self.outage.may_lapse(now) => lapse,
+            None => match known.and_then(|r| r.with_unconfirmed_removal(revision, now)) {
+                Some(unconfirmed)
+                    if source == Source::Store && self.outage.is_removal_uncertain(now) =>
+                {
+                    unconfirmed
+                }
                 _ => Record::new(revision, None, last, now),
             },
         };
-        let changed = !record.serves_like(known);
+        let changed = !record.has_same_usable_endpoint(known);
         if changed {
-            self.changed = self.changed.max(revision);
+            self.last_change = self.last_change.max(revision);
         }
         self.records.insert(key.clone(), record);
         changed
@@ -110,61 +114,61 @@
         for key in missing {
             changed |= self.apply(&key, revision, None, Source::Store, now);
         }
-        self.confirm(revision);
+        self.mark_complete(revision);
         changed
     }
 
     /// Notes that all changes up to and with a revision are known.
-    pub fn confirm(&mut self, revision: revision::Revision) {
-        self.complete = self.complete.max(revision);
+    pub fn mark_complete(&mut self, revision: revision::Revision) {
+        self.complete_revision = self.complete_revision.max(revision);
     }
 
     /// Revision up to and with which all changes are known.
     #[must_use]
-    pub const fn complete(&self) -> revision::Revision {
-        self.complete
+    pub const fn complete_revision(&self) -> revision::Revision {
+        self.complete_revision
     }
 
     /// Revision up to and with which [`Directory::newer_than`] gives another host all changes. What
     /// has lapsed is told once that is final, so it must still be asked for then, here or of a host
     /// that knows when the entry was removed.
     #[must_use]
-    pub fn complete_for_others(&self) -> revision::Revision {
-        let lapsing = self.records.values().filter_map(|r| r.lapsing_after);
-        lapsing.fold(self.complete, revision::Revision::min)
+    pub fn complete_revision_for_peers(&self) -> revision::Revision {
+        let unconfirmed = self.records.values().filter_map(|r| r.unconfirmed_after);
+        unconfirmed.fold(self.complete_revision, revision::Revision::min)
     }
 
     /// Revision of the last known change of the endpoints in use.
     #[must_use]
-    pub const fn changed(&self) -> revision::Revision {
-        self.changed
+    pub const fn last_change(&self) -> revision::Revision {
+        self.last_change
     }
 
     /// Notes whether the store answers.
-    pub fn store_answers(&mut self, answers: bool, now: time::Time) {
-        self.outage.note(answers, now);
+    pub fn record_store_call(&mut self, answered: bool, now: time::Time) {
+        self.outage.record_call(answered, now);
     }
 
     /// Takes in what another host says of its calls to the store.
-    pub fn hear(&mut self, witness: Witness) {
-        self.outage.hear(witness);
+    pub fn apply_store_observation(&mut self, observation: StoreObservation) {
+        self.outage.apply_observation(observation);
     }
 
     /// Ends what has lapsed for good and forgets old removals. Returns the keys of the entries
     /// that lapsed, with the revisions of their removal.
     pub fn tick(&mut self, now: time::Time) -> Vec<(Arc<str>, revision::Revision)> {
-        let mut lapsed = Vec::new();
-        if !self.outage.may_lapse(now) {
+        let mut confirmed = Vec::new();
+        if !self.outage.is_removal_uncertain(now) {
             for (key, record) in &mut self.records {
-                if record.end_lapse(now) {
-                    self.changed = self.changed.max(record.revision);
-                    lapsed.push((key.clone(), record.revision));
+                if record.confirm_removal(now) {
+                    self.last_change = self.last_change.max(record.revision);
+                    confirmed.push((key.clone(), record.revision));
                 }
             }
         }
         self.records
-            .retain(|_, r| r.is_present() || now.since(r.since) < REMOVED_KEPT);
-        lapsed
+            .retain(|_, r| r.is_present() || now.since(r.learned_at) < TOMBSTONE_RETENTION);
+        confirmed
     }
 
     /// Endpoints that new requests may be sent to.
@@ -186,6 +190,6 @@
     ) -> impl Iterator<Item = (&Arc<str>, &Record)> {
         self.records
             .iter()
-            .filter(move |(_, r)| r.revision > revision && !r.is_lapsing())
+            .filter(move |(_, r)| r.revision > revision && !r.is_removal_unconfirmed())
     }
 }
--- a/crates/core/src/directory/record.rs
+++ b/crates/core/src/directory/record.rs
@@ -15,46 +15,50 @@
     /// Set while the entry is gone and the endpoint is kept in use for the time being: the last
     /// revision at which the entry is known to have been there. Its removal may have come at any
     /// revision after that one, since a list only shows that the entry is gone by then.
-    pub lapsing_after: Option<revision::Revision>,
+    pub unconfirmed_after: Option<revision::Revision>,
     /// The last usable entry under this key, by which an older one that arrives late is known.
-    pub last: Option<Arc<Endpoint>>,
+    pub last_endpoint: Option<Arc<Endpoint>>,
     /// When this host learned of the change.
-    pub since: time::Time,
+    pub learned_at: time::Time,
 }
 
 impl Record {
     pub(super) fn new(
         revision: revision::Revision,
         endpoint: Option<Arc<Endpoint>>,
-        last: Option<Arc<Endpoint>>,
-        since: time::Time,
+        last_endpoint: Option<Arc<Endpoint>>,
+        learned_at: time::Time,
     ) -> Self {
         Self {
             revision,
             endpoint,
-            lapsing_after: None,
-            last,
-            since,
+            unconfirmed_after: None,
+            last_endpoint,
+            learned_at,
         }
     }
 
     /// The record of the entry once it is gone by `revision` and its endpoint is kept in use, or
     /// `None` if there is no endpoint to keep.
-    pub(super) fn lapse(&self, revision: revision::Revision, since: time::Time) -> Option<Self> {
+    pub(super) fn with_unconfirmed_removal(
+        &self,
+        revision: revision::Revision,
+        learned_at: time::Time,
+    ) -> Option<Self> {
         let endpoint = self.endpoint.clone()?;
         Some(Self {
             revision,
-            last: Some(endpoint.clone()),
+            last_endpoint: Some(endpoint.clone()),
             endpoint: Some(endpoint),
-            lapsing_after: Some(self.lapsing_after.unwrap_or(self.revision)),
-            since,
+            unconfirmed_after: Some(self.unconfirmed_after.unwrap_or(self.revision)),
+            learned_at,
         })
     }
 
     /// Whether the entry is gone and the endpoint is kept in use for the time being.
     #[must_use]
-    pub const fn is_lapsing(&self) -> bool {
-        self.lapsing_after.is_some()
+    pub const fn is_removal_unconfirmed(&self) -> bool {
+        self.unconfirmed_after.is_some()
     }
 
     /// The endpoint, if new requests may be sent to it.
@@ -74,20 +78,20 @@
     }
 
     /// Whether the same endpoint may be used under both records.
-    pub(super) fn serves_like(&self, other: Option<&Self>) -> bool {
+    pub(super) fn has_same_usable_endpoint(&self, other: Option<&Self>) -> bool {
         match (self.usable(), other.and_then(Self::usable)) {
-            (Some(one), Some(other)) => one.serves_like(other),
+            (Some(one), Some(other)) => one.eq_ignoring_heartbeat(other),
             (None, None) => true,
             _ => false,
         }
     }
 
     /// Ends the use of an endpoint whose entry is gone. Returns whether it had been kept.
-    pub(super) fn end_lapse(&mut self, now: time::Time) -> bool {
-        if !self.is_lapsing() {
+    pub(super) fn confirm_removal(&mut self, now: time::Time) -> bool {
+        if !self.is_removal_unconfirmed() {
             return false;
         }
-        *self = Self::new(self.revision, None, self.last.take(), now);
+        *self = Self::new(self.revision, None, self.last_endpoint.take(), now);
         true
     }
 }
--- a/crates/core/tests/directory.rs
+++ b/crates/core/tests/directory.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pistachiochute_core::directory::{Directory, Endpoint, Identity, Source, State, Witness};
+use pistachiochute_core::directory::{
+    Directory, Endpoint, Identity, Source, State, StoreObservation,
+};
 use pistachiochute_core::{directory, revision, time};
 use proptest::prelude::{Just, Strategy, any, prop_oneof, proptest};
 use proptest::test_runner::{Config, RngSeed};
@@ -11,11 +13,11 @@
 
 const SEED: u64 = 0xd1_2ec7;
 
-fn endpoint(id: &str, born: u64, heartbeat: u64, state: State) -> Arc<Endpoint> {
+fn endpoint(id: &str, started_at_ms: u64, heartbeat: u64, state: State) -> Arc<Endpoint> {
     Arc::new(Endpoint {
         identity: Identity {
             id: id.into(),
-            born,
+            started_at_ms,
         },
         service: "reader".into(),
         address: "10.0.0.1:80".parse().expect("an address"),
@@ -80,7 +82,7 @@
 fn leaving_takes_effect_at_once_and_during_an_outage() {
     let mut world = World::new();
     world.put(1, 1, State::Ready);
-    world.directory.store_answers(false, world.now);
+    world.directory.record_store_call(false, world.now);
     assert!(world.put(2, 2, State::Leaving));
     assert!(!world.is_usable());
 }
@@ -89,9 +91,9 @@
 fn entries_that_lapse_around_an_outage_stay_until_the_grace_ends() {
     let mut world = World::new();
     world.put(1, 1, State::Ready);
-    world.directory.store_answers(false, world.now);
+    world.directory.record_store_call(false, world.now);
     world.pass(4_000);
-    world.directory.store_answers(true, world.now);
+    world.directory.record_store_call(true, world.now);
     assert!(!world.remove(2, Source::Store));
     world.pass(2_000);
     assert!(world.is_usable());
@@ -103,9 +105,9 @@
 fn an_entry_that_returns_within_the_grace_stays() {
     let mut world = World::new();
     world.put(1, 1, State::Ready);
-    world.directory.store_answers(false, world.now);
+    world.directory.record_store_call(false, world.now);
     world.pass(4_000);
-    world.directory.store_answers(true, world.now);
+    world.directory.record_store_call(true, world.now);
     world.remove(2, Source::Store);
     world.pass(1_500);
     world.put(3, 2, State::Ready);
@@ -120,13 +122,13 @@
     let mut world = World::new();
     world.put(1, 1, State::Ready);
     let cut = world.now;
-    world.directory.store_answers(false, world.now);
+    world.directory.record_store_call(false, world.now);
     world.pass(8_000);
-    world.directory.hear(Witness {
-        steady_since: cut - Duration::from_secs(50),
-        answered: world.now - Duration::from_millis(200),
+    world.directory.apply_store_observation(StoreObservation {
+        answering_since: cut - Duration::from_secs(50),
+        last_answered: world.now - Duration::from_millis(200),
     });
-    world.directory.store_answers(true, world.now);
+    world.directory.record_store_call(true, world.now);
     assert!(world.remove(2, Source::Store));
     assert!(!world.is_usable());
 }
@@ -136,16 +138,16 @@
     let mut world = World::new();
     world.put(1, 1, State::Ready);
     let cut = world.now;
-    world.directory.store_answers(false, world.now);
+    world.directory.record_store_call(false, world.now);
     world.pass(4_000);
-    world.directory.store_answers(true, world.now);
-    world.directory.hear(Witness {
-        steady_since: cut + Duration::from_millis(4_000),
-        answered: world.now,
+    world.directory.record_store_call(true, world.now);
+    world.directory.apply_store_observation(StoreObservation {
+        answering_since: cut + Duration::from_millis(4_000),
+        last_answered: world.now,
     });
-    world.directory.hear(Witness {
-        steady_since: cut - Duration::from_secs(50),
-        answered: cut - Duration::from_millis(100),
+    world.directory.apply_store_observation(StoreObservation {
+        answering_since: cut - Duration::from_secs(50),
+        last_answered: cut - Duration::from_millis(100),
     });
     world.remove(2, Source::Store);
     assert!(world.is_usable());
@@ -158,7 +160,7 @@
 fn a_removal_that_the_store_itself_tells_of_shows_that_it_is_back() {
     let mut world = World::new();
     world.put(1, 1, State::Ready);
-    world.directory.store_answers(false, world.now);
+    world.directory.record_store_call(false, world.now);
     world.pass(4_000);
     world.remove(2, Source::Store);
     assert!(world.is_usable());
@@ -173,11 +175,11 @@
     let is_final_after = |answering: Duration| {
         let mut world = World::new();
         world.put(1, 1, State::Ready);
-        world.directory.store_answers(false, world.now);
+        world.directory.record_store_call(false, world.now);
         world.pass(5_500);
-        world.directory.hear(Witness {
-            steady_since: world.now,
-            answered: world.now + answering,
+        world.directory.apply_store_observation(StoreObservation {
+            answering_since: world.now,
+            last_answered: world.now + answering,
         });
         world.now += answering;
         world.remove(2, Source::Store)
@@ -190,7 +192,7 @@
 fn a_removal_that_another_host_tells_of_is_final() {
     let mut world = World::new();
     world.put(1, 1, State::Ready);
-    world.directory.store_answers(false, world.now);
+    world.directory.record_store_call(false, world.now);
     assert!(world.remove(2, Source::Host));
     assert!(!world.is_usable());
 }
@@ -225,7 +227,7 @@
     let mut world = World::new();
     world.put(1, 1, State::Ready);
     assert!(!world.put(9, 2, State::Ready));
-    assert_eq!(world.directory.changed(), at(1));
+    assert_eq!(world.directory.last_change(), at(1));
 }
 
 #[test]
@@ -250,13 +252,13 @@
 
 /// Lets a host ask another one, if it lacks anything, and returns whether it did.
 fn ask(asker: &mut World, told: &World) -> bool {
-    if told.directory.changed() <= asker.directory.complete() {
+    if told.directory.last_change() <= asker.directory.complete_revision() {
         return false;
     }
-    let complete = told.directory.complete_for_others();
+    let complete = told.directory.complete_revision_for_peers();
     let records: Vec<_> = told
         .directory
-        .newer_than(asker.directory.complete())
+        .newer_than(asker.directory.complete_revision())
         .map(|(key, record)| (key.clone(), record.revision, record.endpoint.clone()))
         .collect();
     for (key, revision, endpoint) in records {
@@ -264,7 +266,7 @@
         let now = asker.now;
         asker.directory.apply(&key, revision, endpoint, source, now);
     }
-    asker.directory.confirm(complete);
+    asker.directory.mark_complete(complete);
     true
 }
 
@@ -275,10 +277,10 @@
     let mut member = World::new();
     for world in [&mut relay, &mut member] {
         world.put(1, 1, State::Ready);
-        world.directory.confirm(at(1));
+        world.directory.mark_complete(at(1));
     }
-    relay.directory.store_answers(false, relay.now);
-    relay.directory.store_answers(true, relay.now);
+    relay.directory.record_store_call(false, relay.now);
+    relay.directory.record_store_call(true, relay.now);
     relay.remove(2, Source::Store);
     (relay, member)
 }
@@ -295,7 +297,7 @@
     relay
         .directory
         .apply(&other, at(3), Some(ready), source, relay.now);
-    relay.directory.confirm(at(3));
+    relay.directory.mark_complete(at(3));
     assert!(ask(&mut member, &relay));
     assert_eq!(member.directory.usable().count(), 2);
     relay.pass(3_000);
@@ -308,7 +310,7 @@
 #[test]
 fn the_end_of_a_lapse_is_a_change_that_others_ask_for() {
     let (mut relay, mut member) = relay_with_a_lapse();
-    relay.directory.confirm(at(2));
+    relay.directory.mark_complete(at(2));
     assert!(!ask(&mut member, &relay));
     relay.pass(3_000);
     assert!(ask(&mut member, &relay));
@@ -324,14 +326,14 @@
     let [mut returned, mut steady, mut member] = [World::new(), World::new(), World::new()];
     for world in [&mut returned, &mut steady, &mut member] {
         world.put(1, 1, State::Ready);
-        world.directory.confirm(at(1));
+        world.directory.mark_complete(at(1));
     }
     steady.remove(2, Source::Store);
-    steady.directory.confirm(at(5));
+    steady.directory.mark_complete(at(5));
     let new: Arc<str> = "new".into();
     let ready = endpoint("new", 1, 1, State::Ready);
     let listed = vec![(new, at(4), Some(ready))];
-    returned.directory.store_answers(false, returned.now);
+    returned.directory.record_store_call(false, returned.now);
     returned.directory.replace(listed, at(5), returned.now);
     assert!(ask(&mut member, &returned));
     assert_eq!(member.directory.usable().count(), 2);
--- a/crates/gateway/src/control/links/incoming.rs
+++ b/crates/gateway/src/control/links/incoming.rs
@@ -124,10 +124,12 @@
             if let Some(loads) = loads {
                 state.load_reports.set_own_load(sender, loads);
             }
-            state.directory.hear(directory::Witness {
-                steady_since: before(store.steady_ms),
-                answered: before(store.answered_ms),
-            });
+            state
+                .directory
+                .apply_store_observation(directory::StoreObservation {
+                    answering_since: before(store.steady_ms),
+                    last_answered: before(store.answered_ms),
+                });
             if known.catalog == state.state_version().catalog {
                 cx.shared.confirm_catalog(before(store.catalog_age_ms));
             }
@@ -157,7 +159,7 @@
                     directory::Source::Host,
                 );
             }
-            cx.state.borrow_mut().directory.confirm(complete);
+            cx.state.borrow_mut().directory.mark_complete(complete);
             if any {
                 cx.publish();
             }
@@ -186,7 +188,7 @@
         })
         .collect();
     messages.push(peer::Message::Endpoints {
-        complete: state.directory.complete_for_others(),
+        complete: state.directory.complete_revision_for_peers(),
         records,
     });
     for message in messages {
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -147,7 +147,7 @@
         self.state
             .borrow_mut()
             .directory
-            .store_answers(answered, now);
+            .record_store_call(answered, now);
         match answered {
             true => self.last_store_response.set(now),
             false => self.steady_since.set(time::Time::from_micros(u64::MAX)),
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -105,7 +105,7 @@
     pub fn state_version(&self) -> peer::StateVersion {
         peer::StateVersion {
             catalog: self.catalog.version(),
-            endpoints: self.directory.changed(),
+            endpoints: self.directory.last_change(),
         }
     }
 
@@ -114,7 +114,7 @@
     pub fn catch_up_request(&self, theirs: peer::StateVersion) -> Option<peer::StateVersion> {
         let own = peer::StateVersion {
             catalog: self.catalog.version(),
-            endpoints: self.directory.complete(),
+            endpoints: self.directory.complete_revision(),
         };
         let is_behind = theirs.catalog > own.catalog || theirs.endpoints > own.endpoints;
         is_behind.then_some(own)
--- a/crates/gateway/src/control/sync.rs
+++ b/crates/gateway/src/control/sync.rs
@@ -310,7 +310,7 @@
         let source = directory::Source::Store;
         any |= apply_endpoint(cx, &key_text(key), change.revision(), endpoint, source);
     }
-    cx.state.borrow_mut().directory.confirm(revision);
+    cx.state.borrow_mut().directory.mark_complete(revision);
     if any {
         cx.publish();
     }
--- a/crates/gateway/src/traffic/fleet/tests.rs
+++ b/crates/gateway/src/traffic/fleet/tests.rs
@@ -15,7 +15,7 @@
     Arc::new(directory::Endpoint {
         identity: directory::Identity {
             id: format!("{service}-{number}").into(),
-            born: 1,
+            started_at_ms: 1,
         },
         service: service.into(),
         address: ([127, 0, 0, 1], number).into(),
