--- a/crates/cases/src/machine/link.rs
+++ b/crates/cases/src/machine/link.rs
@@ -48,9 +48,9 @@
 
     pub(super) fn apply(&mut self, now: time::Time, event: Event) -> Option<Outcome> {
         match event {
-            Event::Opened => self.0.opened(now),
-            Event::Closed => self.0.closed(),
-            Event::Heard => self.0.heard(now),
+            Event::Opened => self.0.stream_opened(now),
+            Event::Closed => self.0.stream_closed(),
+            Event::Heard => self.0.record_received(now),
             Event::Check => return Some(check(self.0.check(now))),
             Event::Trusted => return Some(Outcome::Trusted(self.0.is_trusted(now))),
         }
--- a/crates/core/src/health/chart.rs
+++ b/crates/core/src/health/control_chart.rs
@@ -21,16 +21,16 @@
 const SMOOTHING: f64 = 0.3;
 
 /// Probability of a false alarm of the whole chart in one interval.
-const FALSE_ALARM: f64 = 0.0001;
+const FALSE_ALARM_PROBABILITY: f64 = 0.0001;
 
 /// Share of each interval in the running variance of the residuals.
-const GAIN: f64 = 0.1;
+const VARIANCE_GAIN: f64 = 0.1;
 
 /// Intervals before the variance is known well enough to signal.
-const LEARNING_INTERVALS: u32 = 6;
+const WARM_UP_INTERVALS: u32 = 6;
 
 /// Smallest smoothed residual that signals: the logarithm of a latency 30 % above the others.
-const LEAST_RESIDUAL: f64 = 0.262;
+const MIN_SIGNAL_RESIDUAL: f64 = 0.262;
 
 /// Fewest endpoints of a group. With two, both residuals are the same but for the sign.
 const MIN_GROUP: usize = 3;
@@ -48,14 +48,14 @@
 
 /// Chart of the endpoints of one pool.
 #[derive(Clone, Debug, Default)]
-pub struct Chart {
+pub struct ControlChart {
     streams: map::EntityMap<entity::EndpointId, Stream>,
     /// Variance of the residual of one latency.
     variance: f64,
     intervals: u32,
 }
 
-impl Chart {
+impl ControlChart {
     /// Makes a chart without latencies.
     #[must_use]
     pub fn new() -> Self {
@@ -109,10 +109,10 @@
     ) -> SmallVec<[entity::EndpointId; 2]> {
         let base = means.iter().map(|(_, mean, _)| mean).sum::<f64>() / means.len() as f64;
         let limit = limit_coefficient(means.len()) * (SMOOTHING / (2.0 - SMOOTHING)).sqrt();
-        let ready = self.intervals >= LEARNING_INTERVALS;
+        let ready = self.intervals >= WARM_UP_INTERVALS;
         let deviation = self.variance.sqrt().max(f64::MIN_POSITIVE);
         let mut signals = SmallVec::new();
-        let (mut squares, mut calm) = (0.0, 0.0);
+        let (mut squares, mut in_control) = (0.0, 0.0);
         for (id, mean, count) in means {
             let Some(stream) = self.streams.get_mut(*id) else {
                 continue;
@@ -125,30 +125,30 @@
             };
             stream.residual += SMOOTHING * (residual - stream.residual);
             stream.deviations += SMOOTHING * (standardised - stream.deviations);
-            if stream.deviations > limit && stream.residual > LEAST_RESIDUAL {
+            if stream.deviations > limit && stream.residual > MIN_SIGNAL_RESIDUAL {
                 signals.push(*id);
             } else {
                 squares += residual * residual * count;
-                calm += 1.0;
+                in_control += 1.0;
             }
         }
-        self.learn(squares, calm);
+        self.update_variance(squares, in_control);
         signals
     }
 
-    fn learn(&mut self, squares: f64, calm: f64) {
-        if calm == 0.0 {
+    fn update_variance(&mut self, squares: f64, in_control: f64) {
+        if in_control == 0.0 {
             return;
         }
-        let gain = GAIN.max(1.0 / f64::from(self.intervals + 1));
-        self.variance += gain * (squares / calm - self.variance);
+        let gain = VARIANCE_GAIN.max(1.0 / f64::from(self.intervals + 1));
+        self.variance += gain * (squares / in_control - self.variance);
         self.intervals = self.intervals.saturating_add(1);
     }
 }
 
 /// Coefficient of the limit for a group of `streams`, by the correction of Dunn and Sidak.
 fn limit_coefficient(streams: usize) -> f64 {
-    let one = (1.0 - FALSE_ALARM).powf(1.0 / streams as f64);
+    let one = (1.0 - FALSE_ALARM_PROBABILITY).powf(1.0 / streams as f64);
     upper_quantile((1.0 - one) / 2.0)
 }
 
--- a/crates/core/src/health/machine.rs
+++ b/crates/core/src/health/machine.rs
@@ -4,12 +4,12 @@
 
 use smallvec::SmallVec;
 
-use crate::health::{Settings, chart};
+use crate::health::{Settings, control_chart};
 use crate::{entity, map, time};
 
 /// What the work at an endpoint shows of its health.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Sign {
+pub enum Observation {
     /// A connection could not be made.
     ConnectFailed,
     /// An answer stalled for longer than its deadline.
@@ -17,9 +17,9 @@
     /// Another endpoint answers at its address.
     Replaced,
     /// An answer was whole.
-    Served,
+    Completed,
     /// An answer was whole, with this time for each token or call.
-    Answered {
+    CompletedWithLatency {
         /// Time for each token of the answer, or of the call.
         latency: Duration,
     },
@@ -41,14 +41,14 @@
 struct State {
     /// Failures in a row.
     failures: u32,
-    out: Option<Out>,
+    ejection: Option<Ejection>,
     /// Holds in a row, without an answer for as long as the last one after it.
-    holds: u32,
-    returned: Option<time::Time>,
+    ejections: u32,
+    readmitted_at: Option<time::Time>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Out {
+struct Ejection {
     until: time::Time,
     slow: bool,
 }
@@ -58,7 +58,7 @@
 pub struct Health {
     settings: Settings,
     states: map::EntityMap<entity::EndpointId, State>,
-    chart: chart::Chart,
+    chart: control_chart::ControlChart,
     interval_ends: time::Time,
 }
 
@@ -69,59 +69,59 @@
         Self {
             settings,
             states: map::EntityMap::new(),
-            chart: chart::Chart::new(),
+            chart: control_chart::ControlChart::new(),
             interval_ends: now + settings.interval,
         }
     }
 
     /// Forgets an endpoint that the host no longer owns. It counts as usable.
-    pub fn forget(&mut self, endpoint: entity::EndpointId) {
+    pub fn remove(&mut self, endpoint: entity::EndpointId) {
         self.states.remove(endpoint);
         self.chart.remove(endpoint);
     }
 
     /// Takes in a sign from an endpoint.
-    pub fn sign(
+    pub fn observe(
         &mut self,
         now: time::Time,
         endpoint: entity::EndpointId,
-        sign: Sign,
+        observation: Observation,
     ) -> Option<Change> {
-        let failures = self.settings.failures;
+        let failures = self.settings.consecutive_failures;
         let state = self.states.get_or_insert_with(endpoint, State::default);
-        match sign {
-            Sign::Served => {
+        match observation {
+            Observation::Completed => {
                 state.failures = 0;
                 None
             }
-            Sign::Answered { latency } => {
+            Observation::CompletedWithLatency { latency } => {
                 state.failures = 0;
                 self.chart.add(endpoint, latency.as_secs_f64());
                 None
             }
-            Sign::ConnectFailed | Sign::Stalled => {
+            Observation::ConnectFailed | Observation::Stalled => {
                 state.failures += 1;
-                let on_probation = state.holds > 0;
+                let on_probation = state.ejections > 0;
                 (state.failures >= failures || on_probation)
-                    .then(|| self.take_out(now, endpoint, false))
+                    .then(|| self.eject(now, endpoint, false))
                     .flatten()
             }
-            Sign::Replaced => {
+            Observation::Replaced => {
                 // Proof, not a symptom: it stays out as long as any endpoint does.
-                state.holds = MAX_DOUBLINGS;
-                self.take_out(now, endpoint, false)
+                state.ejections = MAX_DOUBLINGS;
+                self.eject(now, endpoint, false)
             }
         }
     }
 
     /// Does the timed work: ends holds, and closes the chart's interval.
     pub fn tick(&mut self, now: time::Time) -> Changes {
-        let mut changes = self.end_holds(now);
+        let mut changes = self.readmit_expired(now);
         if now >= self.interval_ends {
             self.interval_ends = now + self.settings.interval;
             for endpoint in self.chart.close_interval() {
-                if self.may_take_out_slow() {
-                    changes.extend(self.take_out(now, endpoint, true));
+                if self.may_eject_slow() {
+                    changes.extend(self.eject(now, endpoint, true));
                 }
             }
         }
@@ -133,16 +133,16 @@
     pub fn is_usable(&self, endpoint: entity::EndpointId) -> bool {
         self.states
             .get(endpoint)
-            .is_none_or(|state| state.out.is_none())
+            .is_none_or(|state| state.ejection.is_none())
     }
 
-    fn may_take_out_slow(&self) -> bool {
-        let slow = |state: &&State| state.out.is_some_and(|out| out.slow);
-        let out = self.states.values().filter(slow).count();
-        (out + 1) as f64 <= self.settings.slow_share * self.states.len() as f64
+    fn may_eject_slow(&self) -> bool {
+        let slow = |state: &&State| state.ejection.is_some_and(|ejection| ejection.slow);
+        let ejected = self.states.values().filter(slow).count();
+        (ejected + 1) as f64 <= self.settings.max_slow_share * self.states.len() as f64
     }
 
-    fn take_out(
+    fn eject(
         &mut self,
         now: time::Time,
         endpoint: entity::EndpointId,
@@ -150,13 +150,14 @@
     ) -> Option<Change> {
         let settings = self.settings;
         let state = self.states.get_mut(endpoint)?;
-        if state.out.is_some() {
+        if state.ejection.is_some() {
             return None;
         }
-        let hold = settings.hold * 2_u32.saturating_pow(state.holds.min(MAX_DOUBLINGS));
-        let until = now + hold.min(settings.longest_hold);
-        state.out = Some(Out { until, slow });
-        state.holds += 1;
+        let length =
+            settings.base_ejection * 2_u32.saturating_pow(state.ejections.min(MAX_DOUBLINGS));
+        let until = now + length.min(settings.max_ejection);
+        state.ejection = Some(Ejection { until, slow });
+        state.ejections += 1;
         state.failures = 0;
         Some(Change {
             endpoint,
@@ -164,22 +165,24 @@
         })
     }
 
-    fn end_holds(&mut self, now: time::Time) -> Changes {
-        let longest = self.settings.longest_hold;
+    fn readmit_expired(&mut self, now: time::Time) -> Changes {
+        let longest = self.settings.max_ejection;
         let mut changes = Changes::new();
         for (endpoint, state) in self.states.iter_mut() {
-            if state.out.is_some_and(|out| out.until <= now) {
-                state.out = None;
-                state.returned = Some(now);
+            if state.ejection.is_some_and(|ejection| ejection.until <= now) {
+                state.ejection = None;
+                state.readmitted_at = Some(now);
                 changes.push(Change {
                     endpoint,
                     usable: true,
                 });
             }
-            let steady = state.returned.is_some_and(|at| now.since(at) >= longest);
-            if state.out.is_none() && steady {
-                state.holds = 0;
-                state.returned = None;
+            let steady = state
+                .readmitted_at
+                .is_some_and(|at| now.since(at) >= longest);
+            if state.ejection.is_none() && steady {
+                state.ejections = 0;
+                state.readmitted_at = None;
             }
         }
         changes
--- a/crates/core/src/liveness/link.rs
+++ b/crates/core/src/liveness/link.rs
@@ -43,13 +43,13 @@
 pub struct Link {
     cfg: LinkConfig,
     /// Last time at which anything arrived.
-    heard: time::Time,
+    last_received: time::Time,
     /// Start of the present use: when the first open stream was opened.
     in_use_since: Option<time::Time>,
     /// When the unanswered ping was sent. Invariant: nothing arrived since.
-    pinged: Option<time::Time>,
+    pinged_at: Option<time::Time>,
     /// Open streams.
-    streams: u32,
+    open_streams: u32,
 }
 
 impl Link {
@@ -58,38 +58,38 @@
     pub const fn new(cfg: LinkConfig, now: time::Time) -> Self {
         Self {
             cfg,
-            heard: now,
+            last_received: now,
             in_use_since: None,
-            pinged: None,
-            streams: 0,
+            pinged_at: None,
+            open_streams: 0,
         }
     }
 
     /// Records that something arrived.
-    pub fn heard(&mut self, now: time::Time) {
-        self.heard = self.heard.max(now);
-        self.pinged = None;
+    pub fn record_received(&mut self, now: time::Time) {
+        self.last_received = self.last_received.max(now);
+        self.pinged_at = None;
     }
 
     /// Records that a stream was opened.
-    pub fn opened(&mut self, now: time::Time) {
-        self.streams += 1;
+    pub fn stream_opened(&mut self, now: time::Time) {
+        self.open_streams += 1;
         self.in_use_since.get_or_insert(now);
     }
 
     /// Records that a stream was closed.
-    pub fn closed(&mut self) {
-        self.streams = self.streams.saturating_sub(1);
-        if self.streams == 0 {
+    pub fn stream_closed(&mut self) {
+        self.open_streams = self.open_streams.saturating_sub(1);
+        if self.open_streams == 0 {
             self.in_use_since = None;
-            self.pinged = None;
+            self.pinged_at = None;
         }
     }
 
     /// Whether the link was heard lately enough to carry a request that runs at most once.
     #[must_use]
     pub fn is_trusted(&self, now: time::Time) -> bool {
-        now.since(self.heard) <= Duration::from_millis(self.cfg.trusted_ms)
+        now.since(self.last_received) <= Duration::from_millis(self.cfg.trusted_ms)
     }
 
     /// Says what the link needs now.
@@ -98,7 +98,7 @@
             return Check::Wait(None);
         };
         let deadline = Duration::from_millis(self.cfg.ping_deadline_ms);
-        if let Some(pinged) = self.pinged {
+        if let Some(pinged) = self.pinged_at {
             let due = pinged + deadline;
             return if now >= due {
                 Check::Silent
@@ -106,12 +106,12 @@
                 Check::Wait(Some(due))
             };
         }
-        let silent_since = self.heard.max(in_use_since);
+        let silent_since = self.last_received.max(in_use_since);
         let due = silent_since + Duration::from_millis(self.cfg.ping_after_ms);
         if now < due {
             return Check::Wait(Some(due));
         }
-        self.pinged = Some(now);
+        self.pinged_at = Some(now);
         Check::Ping(now + deadline)
     }
 }
--- a/crates/core/src/liveness/stall.rs
+++ b/crates/core/src/liveness/stall_deadline.rs
@@ -25,33 +25,33 @@
 
 /// Stall deadline of one answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Stall {
+pub struct StallDeadline {
     cfg: StallConfig,
-    due: time::Time,
+    deadline: time::Time,
 }
 
-impl Stall {
+impl StallDeadline {
     /// Starts the deadline at the dispatch.
     #[must_use]
     pub fn new(cfg: StallConfig, now: time::Time) -> Self {
-        let due = now + Duration::from_millis(cfg.first_ms);
-        Self { cfg, due }
+        let deadline = now + Duration::from_millis(cfg.first_ms);
+        Self { cfg, deadline }
     }
 
     /// Records that a piece arrived.
-    pub fn heard(&mut self, now: time::Time) {
-        self.due = now + Duration::from_millis(self.cfg.between_ms);
+    pub fn record_progress(&mut self, now: time::Time) {
+        self.deadline = now + Duration::from_millis(self.cfg.between_ms);
     }
 
     /// Time at which the answer counts as stalled.
     #[must_use]
-    pub const fn due(&self) -> time::Time {
-        self.due
+    pub const fn deadline(&self) -> time::Time {
+        self.deadline
     }
 
     /// Whether the answer has stalled.
     #[must_use]
     pub fn is_stalled(&self, now: time::Time) -> bool {
-        now >= self.due
+        now >= self.deadline
     }
 }
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -16,7 +16,7 @@
 
 /// Runs ten endpoints for three minutes and returns those that were taken out. `factor` gives the
 /// slowness of an endpoint at a second.
-fn taken_out<F>(seed: u64, factor: F) -> Vec<usize>
+fn ejected<F>(seed: u64, factor: F) -> Vec<usize>
 where
     F: Fn(usize, u64) -> f64,
 {
@@ -28,7 +28,11 @@
         for index in 0..10 {
             let noise = (rng.random::<f64>() * 2.0 - 1.0) * 0.3;
             let latency = Duration::from_secs_f64(0.026 * factor(index, second) * noise.exp());
-            health.sign(now, endpoint(index), health::Sign::Answered { latency });
+            health.observe(
+                now,
+                endpoint(index),
+                health::Observation::CompletedWithLatency { latency },
+            );
         }
         let changes = health.tick(now);
         out.extend(
@@ -51,7 +55,7 @@
                 1.0
             }
         };
-        assert!(taken_out(seed, surge).is_empty());
+        assert!(ejected(seed, surge).is_empty());
     }
 }
 
@@ -67,7 +71,7 @@
             let slow = if index == 4 && second >= 90 { 2.5 } else { 1.0 };
             surge * slow
         };
-        let out = taken_out(seed, factor);
+        let out = ejected(seed, factor);
         assert!(
             !out.is_empty() && out.iter().all(|index| *index == 4),
             "{out:?}"
@@ -80,11 +84,15 @@
     let settings = health::Settings::default();
     let mut health = fresh();
     let mut now = time::Time::from_secs(1);
-    let failed = health::Sign::ConnectFailed;
-    assert_eq!(health.sign(now, endpoint(0), failed), None);
-    let change = health.sign(now, endpoint(0), failed).expect("taken out");
+    let failed = health::Observation::ConnectFailed;
+    assert_eq!(health.observe(now, endpoint(0), failed), None);
+    let change = health.observe(now, endpoint(0), failed).expect("taken out");
     assert!(!change.usable && !health.is_usable(endpoint(0)));
-    for hold in [settings.hold, settings.hold * 2, settings.hold * 4] {
+    for hold in [
+        settings.base_ejection,
+        settings.base_ejection * 2,
+        settings.base_ejection * 4,
+    ] {
         assert!(
             health
                 .tick(now + hold - Duration::from_millis(1))
@@ -93,7 +101,7 @@
         now += hold;
         assert!(health.tick(now).iter().all(|change| change.usable));
         assert!(health.is_usable(endpoint(0)));
-        let again = health.sign(now, endpoint(0), health::Sign::Stalled);
+        let again = health.observe(now, endpoint(0), health::Observation::Stalled);
         assert!(again.is_some_and(|change| !change.usable));
     }
 }
@@ -103,23 +111,26 @@
     let settings = health::Settings::default();
     let mut health = fresh();
     let now = time::Time::from_secs(1);
-    let answered = health::Sign::Answered {
+    let answered = health::Observation::CompletedWithLatency {
         latency: Duration::from_millis(26),
     };
-    health.sign(now, endpoint(0), health::Sign::Stalled);
-    health.sign(now, endpoint(0), answered);
-    assert_eq!(health.sign(now, endpoint(0), health::Sign::Stalled), None);
+    health.observe(now, endpoint(0), health::Observation::Stalled);
+    health.observe(now, endpoint(0), answered);
+    assert_eq!(
+        health.observe(now, endpoint(0), health::Observation::Stalled),
+        None
+    );
     assert!(
         health
-            .sign(now, endpoint(0), health::Sign::Stalled)
+            .observe(now, endpoint(0), health::Observation::Stalled)
             .is_some()
     );
-    let back = now + settings.hold;
+    let back = now + settings.base_ejection;
     assert_eq!(health.tick(back).len(), 1);
-    let steady = back + settings.longest_hold;
+    let steady = back + settings.max_ejection;
     health.tick(steady);
     assert_eq!(
-        health.sign(steady, endpoint(0), health::Sign::Stalled),
+        health.observe(steady, endpoint(0), health::Observation::Stalled),
         None
     );
 }
@@ -129,15 +140,19 @@
 #[test]
 fn an_endpoint_whose_address_went_to_another_is_out_at_once_and_for_long() {
     let mut health = fresh();
-    let longest = health::Settings::default().longest_hold;
+    let longest = health::Settings::default().max_ejection;
     let now = time::Time::from_secs(100);
-    let change = health.sign(now, endpoint(0), health::Sign::Replaced);
+    let change = health.observe(now, endpoint(0), health::Observation::Replaced);
     assert!(change.is_some_and(|change| !change.usable));
     let almost = now + longest - Duration::from_millis(1);
     health.tick(almost);
     assert!(!health.is_usable(endpoint(0)));
     health.tick(now + longest);
     assert!(health.is_usable(endpoint(0)));
-    let again = health.sign(now + longest, endpoint(0), health::Sign::ConnectFailed);
+    let again = health.observe(
+        now + longest,
+        endpoint(0),
+        health::Observation::ConnectFailed,
+    );
     assert!(again.is_some());
 }
--- a/crates/core/tests/liveness.rs
+++ b/crates/core/tests/liveness.rs
@@ -11,7 +11,7 @@
 #[test]
 fn a_silent_link_in_use_is_given_up_within_two_deadlines() {
     let mut link = liveness::Link::new(liveness::LinkConfig::default(), secs(0));
-    link.opened(secs(10));
+    link.stream_opened(secs(10));
     assert_eq!(link.check(secs(10)), liveness::Check::Wait(Some(secs(11))));
     assert_eq!(link.check(secs(11)), liveness::Check::Ping(secs(12)));
     assert_eq!(link.check(secs(11)), liveness::Check::Wait(Some(secs(12))));
@@ -21,9 +21,9 @@
 #[test]
 fn anything_heard_keeps_the_link() {
     let mut link = liveness::Link::new(liveness::LinkConfig::default(), secs(0));
-    link.opened(secs(0));
+    link.stream_opened(secs(0));
     assert_eq!(link.check(secs(1)), liveness::Check::Ping(secs(2)));
-    link.heard(secs(1) + Duration::from_millis(900));
+    link.record_received(secs(1) + Duration::from_millis(900));
     let due = secs(2) + Duration::from_millis(900);
     assert_eq!(link.check(secs(2)), liveness::Check::Wait(Some(due)));
 }
@@ -31,8 +31,8 @@
 #[test]
 fn an_idle_link_is_not_pinged_and_not_trusted_for_long() {
     let mut link = liveness::Link::new(liveness::LinkConfig::default(), secs(0));
-    link.opened(secs(0));
-    link.closed();
+    link.stream_opened(secs(0));
+    link.stream_closed();
     assert_eq!(link.check(secs(60)), liveness::Check::Wait(None));
     assert!(link.is_trusted(secs(2)));
     assert!(!link.is_trusted(secs(60)));
@@ -41,9 +41,9 @@
 #[test]
 fn an_answer_stalls_between_pieces() {
     let cfg = liveness::StallConfig::default();
-    let mut stall = liveness::Stall::new(cfg, secs(0));
+    let mut stall = liveness::StallDeadline::new(cfg, secs(0));
     assert!(!stall.is_stalled(secs(29)));
-    stall.heard(secs(29));
-    assert_eq!(stall.due(), secs(39));
+    stall.record_progress(secs(29));
+    assert_eq!(stall.deadline(), secs(39));
     assert!(stall.is_stalled(secs(39)));
 }
--- a/crates/gateway/src/traffic/exchange.rs
+++ b/crates/gateway/src/traffic/exchange.rs
@@ -113,11 +113,13 @@
     D: adapter::Dialect,
 {
     let sign = match exchanged {
-        Exchanged::Whole(_) | Exchanged::Stream(..) => health::Sign::Served,
+        Exchanged::Whole(_) | Exchanged::Stream(..) => health::Observation::Completed,
         Exchanged::Ended { ending, .. } => match ending {
-            AttemptFailure::NotSent => health::Sign::ConnectFailed,
-            AttemptFailure::EndpointReplaced => health::Sign::Replaced,
-            AttemptFailure::ConnectionLost | AttemptFailure::Stalled => health::Sign::Stalled,
+            AttemptFailure::NotSent => health::Observation::ConnectFailed,
+            AttemptFailure::EndpointReplaced => health::Observation::Replaced,
+            AttemptFailure::ConnectionLost | AttemptFailure::Stalled => {
+                health::Observation::Stalled
+            }
             AttemptFailure::AtLimit
             | AttemptFailure::Refused
             | AttemptFailure::Failed
--- a/crates/gateway/src/traffic/fleet.rs
+++ b/crates/gateway/src/traffic/fleet.rs
@@ -22,11 +22,11 @@
 /// Health settings: an endpoint that fails is out for a short time at first, since most of them
 /// come back within seconds.
 const HEALTH: health::Settings = health::Settings {
-    failures: 2,
-    hold: Duration::from_millis(500),
-    longest_hold: Duration::from_secs(4),
+    consecutive_failures: 2,
+    base_ejection: Duration::from_millis(500),
+    max_ejection: Duration::from_secs(4),
     interval: Duration::from_secs(1),
-    slow_share: 0.2,
+    max_slow_share: 0.2,
 };
 
 /// What is known of one endpoint.
@@ -184,11 +184,18 @@
     }
 
     /// Takes in a sign of an endpoint's health.
-    pub(super) fn sign(&mut self, id: entity::EndpointId, sign: health::Sign, now: time::Time) {
-        self.health.sign(now, id, sign);
+    pub(super) fn sign(
+        &mut self,
+        id: entity::EndpointId,
+        sign: health::Observation,
+        now: time::Time,
+    ) {
+        self.health.observe(now, id, sign);
         if let Some(known) = self.known.get_mut(id) {
-            known.is_unreachable =
-                matches!(sign, health::Sign::ConnectFailed | health::Sign::Replaced);
+            known.is_unreachable = matches!(
+                sign,
+                health::Observation::ConnectFailed | health::Observation::Replaced
+            );
         }
     }
 
@@ -283,7 +290,7 @@
                 self.by_hash.remove(&known.hash);
             }
             self.prefixes.forget(id);
-            self.health.forget(id);
+            self.health.remove(id);
         }
     }
 }
--- a/crates/measure/src/actions/outage.rs
+++ b/crates/measure/src/actions/outage.rs
@@ -55,7 +55,7 @@
 
 fn detection(silent_from: time::Time) -> Duration {
     let mut link = liveness::Link::new(liveness::LinkConfig::default(), time::Time::ZERO);
-    link.opened(time::Time::ZERO);
+    link.stream_opened(time::Time::ZERO);
     let mut heard = time::Time::ZERO;
     let mut now = time::Time::ZERO;
     loop {
@@ -65,7 +65,7 @@
             liveness::Check::Wait(due) => now = due.unwrap_or(now).min(now + TOKEN_GAP),
         }
         if now <= silent_from {
-            link.heard(now);
+            link.record_received(now);
             heard = now;
         }
     }
--- a/crates/measure/src/routing/health.rs
+++ b/crates/measure/src/routing/health.rs
@@ -2,7 +2,7 @@
 //! none, on cases with surges common to all endpoints and one slow endpoint.
 
 use pistachiochute_core::entity::Entity as _;
-use pistachiochute_core::health::chart;
+use pistachiochute_core::health::control_chart;
 use pistachiochute_core::{entity, health};
 use rand::{Rng as _, SeedableRng as _};
 use rand_distr::Distribution as _;
@@ -54,7 +54,7 @@
 
 /// A test for slow endpoints.
 enum Test {
-    Chart(chart::Chart),
+    Chart(control_chart::ControlChart),
     /// Intervals in a row above the threshold, by endpoint.
     Threshold([u32; ENDPOINTS]),
 }
@@ -144,7 +144,7 @@
 
 /// Figures of the comparison. Without a test nothing is detected and nothing alarms.
 pub fn readings() -> Vec<figure::Reading> {
-    let chart = run(|| Test::Chart(chart::Chart::new()));
+    let chart = run(|| Test::Chart(control_chart::ControlChart::new()));
     let threshold = run(|| Test::Threshold([0; ENDPOINTS]));
     let slow_runs = (2 * SEEDS) as f64;
     let interval_s = health::Settings::default().interval.as_secs_f64();
--- a/crates/runtime/src/control/command.rs
+++ b/crates/runtime/src/control/command.rs
@@ -53,7 +53,7 @@
         endpoint: entity::EndpointId,
         id: owner::AttemptId,
     },
-    Sign(entity::EndpointId, health::Sign),
+    Sign(entity::EndpointId, health::Observation),
     /// Gives the control thread its links, which need the control thread to be made.
     Connect(link::Sender),
     Message {
--- a/crates/runtime/src/control/handle.rs
+++ b/crates/runtime/src/control/handle.rs
@@ -131,7 +131,7 @@
     }
 
     /// Takes in what a call showed of the endpoint's health.
-    pub fn sign(&self, endpoint: entity::EndpointId, sign: health::Sign) {
+    pub fn sign(&self, endpoint: entity::EndpointId, sign: health::Observation) {
         self.tell(Command::Sign(endpoint, sign));
     }
 
--- a/crates/runtime/src/control/loads.rs
+++ b/crates/runtime/src/control/loads.rs
@@ -83,7 +83,7 @@
         reason: reason::Refusal,
     ) {
         self.handovers.forget(endpoint);
-        self.health.forget(endpoint);
+        self.health.remove(endpoint);
         let effects = self.owner.shut(now, endpoint, reason);
         self.deliver(effects);
     }
--- a/crates/runtime/src/control/state.rs
+++ b/crates/runtime/src/control/state.rs
@@ -167,7 +167,7 @@
                 }
             }
             Command::Sign(endpoint, sign) => {
-                let change = self.health.sign(now, endpoint, sign);
+                let change = self.health.observe(now, endpoint, sign);
                 self.log_health(change.as_slice());
             }
             Command::Connect(links) => self.links = Some(links),
--- a/crates/runtime/src/link/ping.rs
+++ b/crates/runtime/src/link/ping.rs
@@ -56,7 +56,7 @@
 
     /// Counts a stream as open.
     pub fn open(&self) -> Open {
-        self.shared.link().opened(clock::now());
+        self.shared.link().stream_opened(clock::now());
         self.shared.opened.notify_one();
         Open {
             shared: Arc::clone(&self.shared),
@@ -73,7 +73,7 @@
                 liveness::Check::Ping(_) => {
                     let pong = pings.ping(h2::Ping::opaque());
                     match time::timeout(self.shared.deadline, pong).await {
-                        Ok(Ok(_)) => self.shared.link().heard(clock::now()),
+                        Ok(Ok(_)) => self.shared.link().record_received(clock::now()),
                         Ok(Err(_)) | Err(_) => return,
                     }
                 }
@@ -86,12 +86,12 @@
 impl Open {
     /// Records that something arrived on the stream.
     pub fn heard(&self) {
-        self.shared.link().heard(clock::now());
+        self.shared.link().record_received(clock::now());
     }
 }
 
 impl Drop for Open {
     fn drop(&mut self) {
-        self.shared.link().closed();
+        self.shared.link().stream_closed();
     }
 }
--- a/crates/runtime/src/owner/mod.rs
+++ b/crates/runtime/src/owner/mod.rs
@@ -244,13 +244,13 @@
 }
 
 /// What the end of a call shows of the endpoint's health.
-fn sign_of(ended: &endpoint::Ended) -> Option<health::Sign> {
+fn sign_of(ended: &endpoint::Ended) -> Option<health::Observation> {
     match ended {
         endpoint::Ended::Failed(failure) => match failure.reason {
-            reason::Refusal::ConnectFailed => Some(health::Sign::ConnectFailed),
-            reason::Refusal::Stalled => Some(health::Sign::Stalled),
+            reason::Refusal::ConnectFailed => Some(health::Observation::ConnectFailed),
+            reason::Refusal::Stalled => Some(health::Observation::Stalled),
             _ => None,
         },
-        endpoint::Ended::Whole { .. } => Some(health::Sign::Served),
+        endpoint::Ended::Whole { .. } => Some(health::Observation::Completed),
     }
 }
