--- a/crates/core/tests/lists_edit.rs
+++ b/crates/core/tests/lists_edit.rs
@@ -76,7 +76,7 @@
 
 /// What happens to a call to the store.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum CallOutcome {
     Answered,
     NotSent,
     /// Takes effect; the answer is lost.
@@ -87,23 +87,23 @@
     Raced,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn call_outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        4 => Just(Fate::Answered),
-        1 => Just(Fate::NotSent),
-        2 => Just(Fate::AnswerLost),
-        2 => Just(Fate::Delayed),
-        2 => Just(Fate::Raced),
+        4 => Just(CallOutcome::Answered),
+        1 => Just(CallOutcome::NotSent),
+        2 => Just(CallOutcome::AnswerLost),
+        2 => Just(CallOutcome::Delayed),
+        2 => Just(CallOutcome::Raced),
     ]
 }
 
-type Allowed = fn(&Change) -> bool;
+type ChangeFilter = fn(&Change) -> bool;
 
-fn every(_: &Change) -> bool {
+fn allow_all(_: &Change) -> bool {
     true
 }
 
-fn none(_: &Change) -> bool {
+fn allow_none(_: &Change) -> bool {
     false
 }
 
@@ -135,43 +135,43 @@
 
 fn run(
     store: &mut Store,
-    edit: &mut Edit<Allowed>,
-    fates: &mut dyn Iterator<Item = Fate>,
+    edit: &mut Edit<ChangeFilter>,
+    outcomes: &mut dyn Iterator<Item = CallOutcome>,
 ) -> Outcome {
     let mut step = Step::Read;
-    let mut raced = 0;
+    let mut races = 0;
     loop {
-        let fate = fates.next().unwrap_or(Fate::Answered);
-        let reached = !matches!(fate, Fate::NotSent);
+        let call_outcome = outcomes.next().unwrap_or(CallOutcome::Answered);
+        let is_reachable = !matches!(call_outcome, CallOutcome::NotSent);
         step = match step {
             Step::Done(outcome) => return outcome,
             Step::Read => {
                 let stored = store.read();
-                edit.read(reached.then_some((store.cas_version(), &stored)))
+                edit.read(is_reachable.then_some((store.cas_version(), &stored)))
             }
             Step::ReadBack => {
                 let (stored, history) = (store.read(), store.history());
-                edit.read_back(reached.then_some((store.cas_version(), &stored, &history[..])))
+                edit.read_back(is_reachable.then_some((store.cas_version(), &stored, &history[..])))
             }
-            Step::Commit(cas_version, record) => match fate {
-                Fate::Answered => edit.committed(store.commit(cas_version, &record)),
-                Fate::NotSent => edit.committed(CommitResult::NotSent),
-                Fate::AnswerLost => {
+            Step::Commit(cas_version, record) => match call_outcome {
+                CallOutcome::Answered => edit.committed(store.commit(cas_version, &record)),
+                CallOutcome::NotSent => edit.committed(CommitResult::NotSent),
+                CallOutcome::AnswerLost => {
                     store.commit(cas_version, &record);
                     edit.committed(CommitResult::Unknown)
                 }
-                Fate::Delayed => {
+                CallOutcome::Delayed => {
                     store.delayed.push((cas_version, record));
                     edit.committed(CommitResult::Unknown)
                 }
-                Fate::Raced => {
-                    raced += 1;
+                CallOutcome::Raced => {
+                    races += 1;
                     let mut other = Edit::new(
-                        id(1_000 + raced),
+                        id(1_000 + races),
                         author("other"),
                         0,
-                        put("other", raced as u32 + 100, Base::Lists(Revision(u64::MAX))),
-                        every as Allowed,
+                        put("other", races as u32 + 100, Base::Lists(Revision(u64::MAX))),
+                        allow_all as ChangeFilter,
                     );
                     run(store, &mut other, &mut std::iter::empty());
                     edit.committed(store.commit(cas_version, &record))
@@ -212,11 +212,11 @@
 
     /// What an edit reports is true, and stays true when delayed writes arrive afterwards.
     #[test]
-    fn reports_are_true(fates in proptest::collection::vec(fate(), 0..24)) {
+    fn reported_outcome_matches_the_store(outcomes in proptest::collection::vec(call_outcome(), 0..24)) {
         let mut store = Store::default();
         let mut edit =
-            Edit::new(id(7), author("ada"), 0, put("p", 3, Base::Absent), every as Allowed);
-        let outcome = run(&mut store, &mut edit, &mut fates.into_iter());
+            Edit::new(id(7), author("ada"), 0, put("p", 3, Base::Absent), allow_all as ChangeFilter);
+        let outcome = run(&mut store, &mut edit, &mut outcomes.into_iter());
         let resolved = match &outcome {
             Outcome::Unresolved(edit) => Some(resolve(&mut store, *edit, id(8))),
             _ => None,
@@ -234,12 +234,12 @@
 }
 
 fn edit_once(store: &mut Store, n: u128, name: &str, proposals: Proposals) -> Outcome {
-    let mut edit = Edit::new(id(n), author(name), 5, proposals, every as Allowed);
+    let mut edit = Edit::new(id(n), author(name), 5, proposals, allow_all as ChangeFilter);
     run(store, &mut edit, &mut std::iter::empty())
 }
 
 #[test]
-fn racing_operators_get_both_versions_and_lose_nothing() {
+fn conflicting_edits_return_both_versions() {
     let mut store = Store::default();
     let first = edit_once(&mut store, 1, "ada", put("p", 1, Base::Absent));
     assert!(matches!(first, Outcome::Recorded(_)), "{first:?}");
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn whole_lists_do_not_bring_back_what_was_removed_since() {
+fn replacing_all_lists_does_not_restore_removed_entries() {
     let mut store = Store::default();
     edit_once(&mut store, 1, "ada", put("p", 1, Base::Absent));
     let mine = store.read().snapshot().lists;
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn refuses_what_is_forbidden_invalid_or_behind() {
+fn rejects_forbidden_invalid_and_outdated_edits() {
     let mut store = Store::default();
     edit_once(&mut store, 1, "ada", put("p", 1, Base::Absent));
     let mut edit = Edit::new(
@@ -299,7 +299,7 @@
         author("bob"),
         0,
         put("q", 1, Base::Absent),
-        none as Allowed,
+        allow_none as ChangeFilter,
     );
     let outcome = run(&mut store, &mut edit, &mut std::iter::empty());
     assert!(matches!(outcome, Outcome::Forbidden(_)), "{outcome:?}");
@@ -323,7 +323,7 @@
         author("ada"),
         0,
         put("q", 1, Base::Absent),
-        every as Allowed,
+        allow_all as ChangeFilter,
     )
     .with_highest_version(ahead);
     let outcome = run(&mut store, &mut edit, &mut std::iter::empty());
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn repair_writes_lead_from_any_store_to_the_lists() {
+fn repair_writes_replace_the_entries_of_any_store() {
     let mut store = Store::default();
     edit_once(&mut store, 1, "ada", put("p", 1, Base::Absent));
     let lists = store.read().snapshot().lists;
--- a/crates/core/tests/lists_replica.rs
+++ b/crates/core/tests/lists_replica.rs
@@ -41,7 +41,7 @@
 
 /// A message on its way.
 #[derive(Clone)]
-struct Flight {
+struct Envelope {
     from: entity::HostId,
     to: entity::HostId,
     message: message::Message,
@@ -51,18 +51,18 @@
 struct Fleet {
     now: time::Time,
     replicas: BTreeMap<entity::HostId, replica::Replica>,
-    flights: Vec<Flight>,
+    in_flight: Vec<Envelope>,
     /// Answers and watch events of the store on their way.
-    reads: Vec<(entity::HostId, StoreAnswer)>,
-    events: Vec<(entity::HostId, Delta)>,
+    store_answers: Vec<(entity::HostId, StoreAnswer)>,
+    watch_events: Vec<(entity::HostId, Delta)>,
     watchers: Vec<entity::HostId>,
     store: Snapshot,
     backups: Vec<Snapshot>,
     store_up: bool,
     /// Domain that is cut off from the store and the other domains.
-    cut: Option<entity::DomainId>,
+    isolated_domain: Option<entity::DomainId>,
     /// Lists of each version that ever existed.
-    contents: BTreeMap<Version, lists::Lists>,
+    lists_by_version: BTreeMap<Version, lists::Lists>,
     /// Largest version in force by host, over the life of its process.
     in_force: BTreeMap<entity::HostId, Version>,
 }
@@ -72,15 +72,15 @@
         let mut fleet = Self {
             now: time::Time::ZERO,
             replicas: BTreeMap::new(),
-            flights: Vec::new(),
-            reads: Vec::new(),
-            events: Vec::new(),
+            in_flight: Vec::new(),
+            store_answers: Vec::new(),
+            watch_events: Vec::new(),
             watchers: Vec::new(),
             store: Snapshot::default(),
             backups: Vec::new(),
             store_up: true,
-            cut: None,
-            contents: [(Version::NONE, lists::Lists::default())].into(),
+            isolated_domain: None,
+            lists_by_version: [(Version::NONE, lists::Lists::default())].into(),
             in_force: BTreeMap::new(),
         };
         (0..HOSTS).for_each(|i| fleet.restart(host(i)));
@@ -90,8 +90,8 @@
     fn restart(&mut self, host: entity::HostId) {
         self.in_force.remove(&host);
         self.watchers.retain(|other| *other != host);
-        self.reads.retain(|(other, _)| *other != host);
-        self.events.retain(|(other, _)| *other != host);
+        self.store_answers.retain(|(other, _)| *other != host);
+        self.watch_events.retain(|(other, _)| *other != host);
         let (replica, effects) = replica::Replica::start(self.now, view(host));
         self.replicas.insert(host, replica);
         self.run(host, effects);
@@ -102,10 +102,10 @@
             match effect {
                 Effect::Send(to, message) => {
                     let from = host;
-                    self.flights.push(Flight { from, to, message });
+                    self.in_flight.push(Envelope { from, to, message });
                 }
                 Effect::ReadStore if !self.reaches_store(host) => {
-                    self.reads.push((host, StoreAnswer::Unavailable));
+                    self.store_answers.push((host, StoreAnswer::Unavailable));
                 }
                 Effect::ReadStore => {
                     let same = self.store.version == self.replicas[&host].version();
@@ -113,7 +113,7 @@
                         true => StoreAnswer::Same,
                         false => StoreAnswer::Lists(self.store.clone()),
                     };
-                    self.reads.push((host, answer));
+                    self.store_answers.push((host, answer));
                 }
                 Effect::Watch => self.watchers.push(host),
                 Effect::Unwatch => self.watchers.retain(|other| *other != host),
@@ -137,27 +137,34 @@
         version: Version,
         lists: &Arc<lists::Lists>,
     ) {
-        let former = self.in_force.insert(host, version).unwrap_or_default();
-        assert!(version >= former, "{host} went from {former} to {version}");
-        assert_eq!(**lists, self.contents[&version], "{host} at {version}");
+        let previous = self.in_force.insert(host, version).unwrap_or_default();
+        assert!(
+            version >= previous,
+            "{host} went from {previous} to {version}"
+        );
+        assert_eq!(
+            **lists, self.lists_by_version[&version],
+            "{host} at {version}"
+        );
     }
 
     fn reaches_store(&self, host: entity::HostId) -> bool {
-        self.store_up && self.cut != Some(domain_of(host))
+        self.store_up && self.isolated_domain != Some(domain_of(host))
     }
 
     fn connected(&self, a: entity::HostId, b: entity::HostId) -> bool {
         domain_of(a) == domain_of(b)
-            || (self.cut != Some(domain_of(a)) && self.cut != Some(domain_of(b)))
+            || (self.isolated_domain != Some(domain_of(a))
+                && self.isolated_domain != Some(domain_of(b)))
     }
 
     fn record(&mut self, delta: Delta, lists: lists::Lists) {
         self.backups.push(self.store.clone());
-        self.contents.insert(delta.to, lists.clone());
+        self.lists_by_version.insert(delta.to, lists.clone());
         let version = delta.to;
         self.store = Snapshot { version, lists };
         let watchers = self.watchers.iter();
-        self.events
+        self.watch_events
             .extend(watchers.map(|host| (*host, delta.clone())));
     }
 
@@ -188,32 +195,34 @@
         if let Some(backup) = self.backups.get(kept).cloned() {
             self.backups.truncate(kept);
             self.store = backup;
-            self.events.clear();
+            self.watch_events.clear();
         }
     }
 
-    fn deliver(&mut self, index: usize, again: bool) {
-        let count = self.flights.len();
+    fn deliver(&mut self, index: usize, duplicate: bool) {
+        let count = self.in_flight.len();
         if count == 0 {
             return;
         }
         let i = index % count;
-        let flight = match again {
-            true => self.flights[i].clone(),
-            false => self.flights.swap_remove(i),
+        let envelope = match duplicate {
+            true => self.in_flight[i].clone(),
+            false => self.in_flight.swap_remove(i),
         };
-        if self.connected(flight.from, flight.to) {
+        if self.connected(envelope.from, envelope.to) {
             let now = self.now;
-            let replica = self.replicas.get_mut(&flight.to).unwrap();
-            let effects = replica.handle_message(now, flight.from, flight.message);
-            self.run(flight.to, effects);
+            let replica = self.replicas.get_mut(&envelope.to).unwrap();
+            let effects = replica.handle_message(now, envelope.from, envelope.message);
+            self.run(envelope.to, effects);
         }
     }
 
     fn deliver_store(&mut self, index: usize) {
         let now = self.now;
-        if !self.reads.is_empty() {
-            let (host, answer) = self.reads.swap_remove(index % self.reads.len());
+        if !self.store_answers.is_empty() {
+            let (host, answer) = self
+                .store_answers
+                .swap_remove(index % self.store_answers.len());
             let effects = self
                 .replicas
                 .get_mut(&host)
@@ -221,8 +230,10 @@
                 .handle_store_answer(now, answer);
             self.run(host, effects);
         }
-        if !self.events.is_empty() {
-            let (host, delta) = self.events.swap_remove(index % self.events.len());
+        if !self.watch_events.is_empty() {
+            let (host, delta) = self
+                .watch_events
+                .swap_remove(index % self.watch_events.len());
             let effects = self
                 .replicas
                 .get_mut(&host)
@@ -242,27 +253,27 @@
     }
 
     /// Delivers everything in order for a while, without faults.
-    fn heal(&mut self, span: Duration) {
+    fn run_without_faults(&mut self, duration: Duration) {
         self.store_up = true;
-        self.cut = None;
-        let end = self.now + span;
+        self.isolated_domain = None;
+        let end = self.now + duration;
         while self.now < end {
             self.step();
-            while !self.flights.is_empty() {
+            while !self.in_flight.is_empty() {
                 self.deliver(0, false);
             }
-            while !self.reads.is_empty() || !self.events.is_empty() {
+            while !self.store_answers.is_empty() || !self.watch_events.is_empty() {
                 self.deliver_store(0);
             }
         }
     }
 
-    fn assert_agreed(&self) {
+    fn assert_converged(&self) {
         let version = self.store.version;
         for (host, replica) in &self.replicas {
             assert!(replica.is_ready(), "{host} is not ready");
             assert_eq!(replica.version(), version, "{host}");
-            assert_eq!(**replica.lists(), self.contents[&version], "{host}");
+            assert_eq!(**replica.lists(), self.lists_by_version[&version], "{host}");
         }
     }
 }
@@ -281,15 +292,15 @@
     #[test]
     fn version_never_goes_down(ops in proptest::collection::vec((0_u8..100, any::<u16>()), 1..500)) {
         let mut fleet = Fleet::new();
-        fleet.heal(Duration::from_secs(3));
+        fleet.run_without_faults(Duration::from_secs(3));
         let mut largest = Version::NONE;
         for (op, arg) in ops {
             let arg = usize::from(arg);
             match op {
                 0..=49 => fleet.deliver(arg, false),
                 50..=54 => fleet.deliver(arg, true),
-                55..=59 if !fleet.flights.is_empty() => {
-                    fleet.flights.swap_remove(arg % fleet.flights.len());
+                55..=59 if !fleet.in_flight.is_empty() => {
+                    fleet.in_flight.swap_remove(arg % fleet.in_flight.len());
                 }
                 55..=69 => fleet.deliver_store(arg),
                 70..=79 => fleet.step(),
@@ -297,8 +308,8 @@
                 92..=93 => fleet.restart(host(arg as u32 % HOSTS)),
                 94..=95 => fleet.store_up = !fleet.store_up,
                 96 => fleet.restore_store(arg % 5),
-                97 => fleet.events.clear(),
-                _ => fleet.cut = match arg as u32 % (DOMAINS + 1) {
+                97 => fleet.watch_events.clear(),
+                _ => fleet.isolated_domain = match arg as u32 % (DOMAINS + 1) {
                     DOMAINS => None,
                     domain => entity::DomainId::new(domain),
                 },
@@ -307,8 +318,8 @@
             let ready = fleet.replicas.values().filter(|replica| replica.is_ready());
             largest = ready.map(replica::Replica::version).max().unwrap_or_default();
         }
-        fleet.heal(Duration::from_secs(90));
-        fleet.assert_agreed();
+        fleet.run_without_faults(Duration::from_secs(90));
+        fleet.assert_converged();
         prop_assert!(fleet.store.version >= largest);
     }
 }
@@ -316,16 +327,16 @@
 #[test]
 fn host_starts_from_peers_while_the_store_is_down() {
     let mut fleet = Fleet::new();
-    fleet.heal(Duration::from_secs(3));
+    fleet.run_without_faults(Duration::from_secs(3));
     fleet.edit(host(0), 7);
-    fleet.heal(Duration::from_secs(3));
+    fleet.run_without_faults(Duration::from_secs(3));
     let version = fleet.store.version;
     fleet.store_up = false;
     fleet.restart(host(4));
     assert!(!fleet.replicas[&host(4)].is_ready());
     for _ in 0..12 {
         fleet.step();
-        while !fleet.flights.is_empty() {
+        while !fleet.in_flight.is_empty() {
             fleet.deliver(0, false);
         }
     }
@@ -355,14 +366,14 @@
 #[test]
 fn operator_sees_hosts_confirmed_and_domains_unreachable() {
     let mut fleet = Fleet::new();
-    fleet.heal(Duration::from_secs(3));
-    fleet.cut = entity::DomainId::new(2);
+    fleet.run_without_faults(Duration::from_secs(3));
+    fleet.isolated_domain = entity::DomainId::new(2);
     fleet.edit(host(0), 7);
     let revision = fleet.store.version.revision;
     assert_eq!(revision, revision::Revision(1));
     for _ in 0..160 {
         fleet.step();
-        while !fleet.flights.is_empty() {
+        while !fleet.in_flight.is_empty() {
             fleet.deliver(0, false);
         }
         fleet.deliver_store(0);
@@ -375,7 +386,7 @@
     let reporting = (replica::DomainReach::Reporting, 3, 3);
     assert_eq!(seen[..2], [reporting, reporting]);
     assert_eq!(seen[2].0, replica::DomainReach::Unreachable);
-    fleet.heal(Duration::from_secs(30));
+    fleet.run_without_faults(Duration::from_secs(30));
     let status = fleet.replicas[&host(0)].status(fleet.now, revision);
     assert!(status.iter().all(|s| s.confirmed == 3), "{status:?}");
 }
