--- a/crates/messages/src/forward.rs
+++ b/crates/messages/src/forward.rs
@@ -30,9 +30,9 @@
     /// Chat of the request, if it has one.
     pub chat: Option<request::ChatKey>,
     /// Whether the request may be sent again after it may have run.
-    pub repeat: request::Idempotency,
+    pub idempotency: request::Idempotency,
     /// Idempotency key of the caller.
-    pub key: Option<uuid::Uuid>,
+    pub idempotency_key: Option<uuid::Uuid>,
     /// Estimated work in tokens, prompt and answer.
     pub cost: units::Tokens,
     /// Estimated tokens of the prompt.
--- a/crates/runtime/src/endpoint/call.rs
+++ b/crates/runtime/src/endpoint/call.rs
@@ -81,7 +81,7 @@
     /// Whether the call may be sent again to go on with a cut stream. An endpoint that does not
     /// know resumption would run it a second time.
     fn may_resume(&self, progress: &Progress) -> bool {
-        progress.after.is_some() && self.head.repeat == request::Idempotency::Idempotent
+        progress.after.is_some() && self.head.idempotency == request::Idempotency::Idempotent
     }
 
     fn attempt(&self, pieces: &mut pieces::Pieces, progress: &mut Progress) -> Result<(), Stop> {
@@ -126,7 +126,7 @@
         {
             builder = builder.header(http::header::CONTENT_TYPE, content_type);
         }
-        if let Some(key) = self.head.key {
+        if let Some(key) = self.head.idempotency_key {
             builder = builder.header(endpoint::KEY_HEADER, key.to_string());
         }
         if let Some(after) = after {
--- a/crates/runtime/src/owner/mod.rs
+++ b/crates/runtime/src/owner/mod.rs
@@ -142,8 +142,8 @@
 
     /// Calls the endpoint. An action with a key is dispatched only with a permit of the journal.
     fn call(&self, addr: net::SocketAddr, mut pieces: endpoint::Pieces) {
-        let action = self.head.repeat == request::Idempotency::AtMostOnce;
-        let Some(key) = self.head.key.filter(|_| action) else {
+        let action = self.head.idempotency == request::Idempotency::AtMostOnce;
+        let Some(key) = self.head.idempotency_key.filter(|_| action) else {
             let (ended, pieces) = self.dispatch(addr, pieces);
             return reply(ended, pieces);
         };
