--- a/crates/core/src/journal/mod.rs
+++ b/crates/core/src/journal/mod.rs
@@ -34,5 +34,6 @@
     MAX_RECORDED_BODY_BYTES, MAX_RECORDED_CONTENT_TYPE_BYTES, Record, RecordedAnswer, State,
 };
 pub use shard::{
-    DecodeShardError, MAX_RECORD_BYTES, MAX_SHARD_BYTES, ModRevision, Shard, ShardId, StoredShard,
+    DecodeShardError, MAX_SHARD_BYTES, ModRevision, RECORD_OVERHEAD_BYTES, Shard, ShardId,
+    StoredShard,
 };
--- a/crates/core/src/journal/shard.rs
+++ b/crates/core/src/journal/shard.rs
@@ -9,7 +9,7 @@
 use crate::journal::{KeyHash, Record, State};
 
 /// Bytes that a record takes up at most, its kept body aside.
-pub const MAX_RECORD_BYTES: usize = 128;
+pub const RECORD_OVERHEAD_BYTES: usize = 128;
 
 /// Most bytes that the records of a shard take up. A quarter of the value size that the
 /// key-value service takes.
@@ -138,7 +138,7 @@
     #[must_use]
     pub fn has_room(&self, key: &KeyHash) -> bool {
         self.records.contains_key(key)
-            || self.max_encoded_len() + MAX_RECORD_BYTES <= MAX_SHARD_BYTES
+            || self.max_encoded_len() + RECORD_OVERHEAD_BYTES <= MAX_SHARD_BYTES
     }
 
     /// Sets a record.
@@ -189,7 +189,7 @@
 
 fn max_record_len(record: &Record) -> usize {
     match &record.state {
-        State::Run(recorded) => MAX_RECORD_BYTES + recorded.body_len(),
-        State::Reserved { .. } | State::NotRun | State::Unknown => MAX_RECORD_BYTES,
+        State::Run(recorded) => RECORD_OVERHEAD_BYTES + recorded.body_len(),
+        State::Reserved { .. } | State::NotRun | State::Unknown => RECORD_OVERHEAD_BYTES,
     }
 }
--- a/crates/core/src/topology.rs
+++ b/crates/core/src/topology.rs
@@ -47,7 +47,7 @@
 impl Serves {
     /// Whether the endpoint serves the target.
     #[must_use]
-    pub fn has(&self, target: &request::Target) -> bool {
+    pub fn includes(&self, target: &request::Target) -> bool {
         match (self, target) {
             (Self::Engine { models }, request::Target::Model(model)) => models.contains(model),
             (Self::Service { name }, request::Target::Service(service)) => name == service,
--- a/crates/core/tests/answer.rs
+++ b/crates/core/tests/answer.rs
@@ -84,11 +84,11 @@
 }
 
 /// A caller that collects what it is given, and the network before it.
-struct Trial {
+struct Simulation {
     assembler: answer::Assembler,
     stream: bool,
     body: Vec<u8>,
-    whole: bool,
+    complete: bool,
     /// Frames of earlier attempts, which can arrive late.
     stale: Vec<answer::Frame>,
     others: Vec<answer::Frame>,
@@ -96,25 +96,25 @@
     run: u8,
 }
 
-impl Trial {
+impl Simulation {
     fn new(stream: bool) -> Self {
         Self {
             assembler: answer::Assembler::new(request(1), stream),
             stream,
             body: Vec::new(),
-            whole: false,
+            complete: false,
             stale: Vec::new(),
             others: attempt_frames(2, 0, 9, 0, stream),
             run: 0,
         }
     }
 
-    fn give(&mut self, frame: answer::Frame) -> Option<retry::Failure> {
+    fn deliver(&mut self, frame: answer::Frame) -> Option<retry::Failure> {
         match self.assembler.handle_frame(frame) {
             answer::Step::Deliver(delivery) => {
-                assert!(!self.whole, "delivery after the end");
+                assert!(!self.complete, "delivery after the end");
                 self.body.extend(delivery.data.concat());
-                self.whole = delivery.end;
+                self.complete = delivery.end;
                 None
             }
             answer::Step::Failed(failure) => Some(failure),
@@ -139,23 +139,27 @@
         let mut i = 0;
         while i < frames.len() && failure.is_none() {
             match faults.next().unwrap_or(Fault::None) {
-                Fault::None => failure = self.give(frames[i].clone()),
+                Fault::None => failure = self.deliver(frames[i].clone()),
                 Fault::Lose => {}
                 Fault::Duplicate => {
-                    failure = self.give(frames[i].clone());
-                    failure = failure.or_else(|| self.give(frames[i].clone()));
+                    failure = self.deliver(frames[i].clone());
+                    failure = failure.or_else(|| self.deliver(frames[i].clone()));
                 }
                 Fault::SwapWithNext if i + 1 < frames.len() => {
                     frames.swap(i, i + 1);
-                    failure = self.give(frames[i].clone());
+                    failure = self.deliver(frames[i].clone());
                 }
-                Fault::SwapWithNext => failure = self.give(frames[i].clone()),
+                Fault::SwapWithNext => failure = self.deliver(frames[i].clone()),
                 Fault::StaleFrame(at) => {
-                    failure = self.give_late(at).or_else(|| self.give(frames[i].clone()))
+                    failure = self
+                        .deliver_stale(at)
+                        .or_else(|| self.deliver(frames[i].clone()))
                 }
                 Fault::OtherRequest(at) => {
                     let other = self.others[at % self.others.len()].clone();
-                    failure = self.give(other).or_else(|| self.give(frames[i].clone()));
+                    failure = self
+                        .deliver(other)
+                        .or_else(|| self.deliver(frames[i].clone()));
                 }
                 Fault::Cut => {
                     failure = Some(self.assembler.fail_attempt(reason::Refusal::ConnectionLost))
@@ -164,18 +168,18 @@
             i += 1;
         }
         self.stale.extend(all);
-        if failure.is_none() && !self.whole {
+        if failure.is_none() && !self.complete {
             failure = Some(self.assembler.fail_attempt(reason::Refusal::ConnectionLost));
         }
         failure
     }
 
-    fn give_late(&mut self, at: usize) -> Option<retry::Failure> {
+    fn deliver_stale(&mut self, at: usize) -> Option<retry::Failure> {
         if self.stale.is_empty() {
             return None;
         }
-        let late = self.stale[at % self.stale.len()].clone();
-        self.give(late)
+        let stale = self.stale[at % self.stale.len()].clone();
+        self.deliver(stale)
     }
 
     fn answer_of_run(&self) -> Vec<u8> {
@@ -193,26 +197,26 @@
         stream in any::<bool>(),
         faults in collection::vec(any_fault(), 0..60),
     ) {
-        let mut trial = Trial::new(stream);
+        let mut simulation = Simulation::new(stream);
         let mut faults = faults.into_iter();
         for number in 0..6 {
-            let Some(failure) = trial.attempt(number, &mut faults) else { break };
+            let Some(failure) = simulation.attempt(number, &mut faults) else { break };
             match failure.recovery {
-                retry::Recovery::Restart => prop_assert!(trial.body.is_empty()),
+                retry::Recovery::Restart => prop_assert!(simulation.body.is_empty()),
                 retry::Recovery::Resume => prop_assert!(stream),
                 retry::Recovery::Impossible => break,
             }
         }
-        let answer = trial.answer_of_run();
-        prop_assert!(answer.starts_with(&trial.body));
-        prop_assert_eq!(trial.whole, trial.assembler.is_complete());
-        if trial.whole {
-            prop_assert_eq!(trial.body, answer);
+        let answer = simulation.answer_of_run();
+        prop_assert!(answer.starts_with(&simulation.body));
+        prop_assert_eq!(simulation.complete, simulation.assembler.is_complete());
+        if simulation.complete {
+            prop_assert_eq!(simulation.body, answer);
         }
     }
 }
 
-fn begun(stream: bool) -> answer::Assembler {
+fn assembler_in_attempt(stream: bool) -> answer::Assembler {
     let mut assembler = answer::Assembler::new(request(1), stream);
     assert_eq!(assembler.begin_attempt(0), None);
     assembler
@@ -228,7 +232,7 @@
 
 #[test]
 fn a_short_answer_fails_at_its_end_marker() {
-    let mut assembler = begun(false);
+    let mut assembler = assembler_in_attempt(false);
     assembler.handle_frame(frame(answer::Part::Head(head())));
     let end = answer::Part::End {
         chunks: 1,
@@ -245,7 +249,7 @@
 
 #[test]
 fn evidence_of_a_lost_attempt_is_as_strong_as_what_was_seen() {
-    let mut assembler = begun(false);
+    let mut assembler = assembler_in_attempt(false);
     let unsent = assembler.fail_attempt(reason::Refusal::ConnectFailed);
     assert_eq!(unsent.outcome, outcome::Outcome::NotRun);
     assembler.begin_attempt(0);
@@ -260,7 +264,7 @@
 
 #[test]
 fn a_refusal_after_the_head_does_not_count_as_not_run() {
-    let mut assembler = begun(false);
+    let mut assembler = assembler_in_attempt(false);
     assembler.handle_frame(frame(answer::Part::Head(head())));
     let refused = answer::Part::Failed {
         reason: reason::Refusal::Draining,
@@ -275,7 +279,7 @@
 
 #[test]
 fn a_long_answer_is_delivered_and_then_cannot_be_repeated() {
-    let mut assembler = begun(false);
+    let mut assembler = assembler_in_attempt(false);
     assembler.handle_frame(frame(answer::Part::Head(head())));
     let piece = answer::Part::Chunk {
         seq: 0,
@@ -290,7 +294,7 @@
 
 #[test]
 fn a_resumed_stream_with_another_head_fails() {
-    let mut assembler = begun(true);
+    let mut assembler = assembler_in_attempt(true);
     assembler.handle_frame(frame(answer::Part::Head(head())));
     let piece = answer::Part::Chunk {
         seq: 0,
--- a/crates/core/tests/journal.rs
+++ b/crates/core/tests/journal.rs
@@ -44,14 +44,14 @@
 }
 
 /// A journal with a service that answers every call at once.
-struct Served {
+struct JournalWithStore {
     journal: journal::Journal,
     store: BTreeMap<journal::ShardId, journal::StoredShard>,
     revision: u64,
     swaps: usize,
 }
 
-impl Served {
+impl JournalWithStore {
     fn new(cfg: journal::Config) -> Self {
         Self {
             journal: journal::Journal::new(cfg),
@@ -62,12 +62,12 @@
     }
 
     /// Gives an event, serves the calls that follow and returns the other effects.
-    fn give(&mut self, event: Event, now: time::Time) -> Vec<Effect> {
+    fn handle(&mut self, event: Event, now: time::Time) -> Vec<Effect> {
         let mut open = vec![event];
         let mut rest = Vec::new();
         while let Some(event) = open.pop() {
             for effect in self.journal.handle(event, now, CLOCK) {
-                match self.serve(&effect) {
+                match self.serve_call(&effect) {
                     Some(event) => open.push(event),
                     None => rest.push(effect),
                 }
@@ -76,7 +76,7 @@
         rest
     }
 
-    fn serve(&mut self, effect: &Effect) -> Option<Event> {
+    fn serve_call(&mut self, effect: &Effect) -> Option<Event> {
         match effect {
             Effect::Read { call, shard } => {
                 let stored = self.store.get(shard).cloned().unwrap_or_default();
@@ -141,8 +141,8 @@
 
 #[test]
 fn a_repeat_gets_the_recorded_answer() {
-    let mut served = Served::new(one_slot());
-    let first = served.give(Event::Begin(begin(1, 7)), NOW);
+    let mut host = JournalWithStore::new(one_slot());
+    let first = host.handle(Event::Begin(begin(1, 7)), NOW);
     assert!(matches!(first[..], [Effect::Dispatch { .. }]));
     let body = Bytes::from_static(b"booked");
     let recorded = journal::RecordedAnswer::new(201, &Bytes::from_static(b"text/plain"), &body);
@@ -150,9 +150,9 @@
         attempt: begin(1, 7).attempt,
         result: journal::AttemptResult::Run(recorded.clone()),
     };
-    assert!(served.give(finished, NOW).is_empty());
-    assert!(served.journal.is_idle());
-    let repeat = served.give(Event::Begin(begin(2, 7)), NOW);
+    assert!(host.handle(finished, NOW).is_empty());
+    assert!(host.journal.is_idle());
+    let repeat = host.handle(Event::Begin(begin(2, 7)), NOW);
     let replay = Effect::Answer {
         attempt: begin(2, 7).attempt,
         answer: Answer::Recorded(recorded),
@@ -162,22 +162,22 @@
 
 #[test]
 fn a_repeat_while_the_action_runs_is_in_progress() {
-    let mut served = Served::new(one_slot());
-    served.give(Event::Begin(begin(1, 7)), NOW);
-    let repeat = served.give(Event::Begin(begin(2, 7)), NOW);
+    let mut host = JournalWithStore::new(one_slot());
+    host.handle(Event::Begin(begin(1, 7)), NOW);
+    let repeat = host.handle(Event::Begin(begin(2, 7)), NOW);
     let expected = (reason::Refusal::InProgress, outcome::Outcome::Unknown);
     assert_eq!(refusal(&repeat), Some(expected));
 }
 
 #[test]
 fn another_body_is_refused() {
-    let mut served = Served::new(one_slot());
-    served.give(Event::Begin(begin(1, 7)), NOW);
+    let mut host = JournalWithStore::new(one_slot());
+    host.handle(Event::Begin(begin(1, 7)), NOW);
     let other = journal::NewAttempt {
         fingerprint: journal::Fingerprint([9; 16]),
         ..begin(2, 7)
     };
-    let effects = served.give(Event::Begin(other), NOW);
+    let effects = host.handle(Event::Begin(other), NOW);
     let expected = (reason::Refusal::KeyReused, outcome::Outcome::NotRun);
     assert_eq!(refusal(&effects), Some(expected));
     assert_eq!(reason::Refusal::KeyReused.status(), 422);
@@ -185,21 +185,21 @@
 
 #[test]
 fn an_action_that_was_not_run_can_be_asked_for_again() {
-    let mut served = Served::new(one_slot());
-    served.give(Event::Begin(begin(1, 7)), NOW);
+    let mut host = JournalWithStore::new(one_slot());
+    host.handle(Event::Begin(begin(1, 7)), NOW);
     let finished = Event::Finished {
         attempt: begin(1, 7).attempt,
         result: journal::AttemptResult::NotRun,
     };
-    served.give(finished, NOW);
-    let repeat = served.give(Event::Begin(begin(2, 7)), NOW);
+    host.handle(finished, NOW);
+    let repeat = host.handle(Event::Begin(begin(2, 7)), NOW);
     assert!(matches!(repeat[..], [Effect::Dispatch { .. }]));
 }
 
 #[test]
 fn a_long_answer_is_not_replayed() {
-    let mut served = Served::new(one_slot());
-    served.give(Event::Begin(begin(1, 7)), NOW);
+    let mut host = JournalWithStore::new(one_slot());
+    host.handle(Event::Begin(begin(1, 7)), NOW);
     let body = Bytes::from(vec![0; journal::MAX_RECORDED_BODY_BYTES + 1]);
     let finished = Event::Finished {
         attempt: begin(1, 7).attempt,
@@ -209,8 +209,8 @@
             &body,
         )),
     };
-    served.give(finished, NOW);
-    let repeat = served.give(Event::Begin(begin(2, 7)), NOW);
+    host.handle(finished, NOW);
+    let repeat = host.handle(Event::Begin(begin(2, 7)), NOW);
     let expected = (reason::Refusal::AnswerNotKept, outcome::Outcome::Run);
     assert_eq!(refusal(&repeat), Some(expected));
 }
@@ -247,26 +247,25 @@
         slots: 1,
         ..journal::Config::default()
     };
-    let mut served = Served::new(cfg);
-    let first = served.give(Event::Begin(begin(1, 1)), NOW);
+    let mut host = JournalWithStore::new(cfg);
+    let first = host.handle(Event::Begin(begin(1, 1)), NOW);
     assert_eq!(first.len(), 1);
     for number in 2..20 {
         assert!(
-            served
-                .give(Event::Begin(begin(number, number)), NOW)
+            host.handle(Event::Begin(begin(number, number)), NOW)
                 .is_empty()
         );
     }
-    let due = served.journal.wakeup().expect("attempts wait");
-    let dispatched = served.give(Event::Tick, due);
+    let due = host.journal.wakeup().expect("attempts wait");
+    let dispatched = host.handle(Event::Tick, due);
     assert_eq!(dispatched.len(), 18);
-    assert_eq!(served.swaps, 2);
+    assert_eq!(host.swaps, 2);
 }
 
 #[test]
 fn a_full_shard_refuses_and_keeps_its_records() {
-    let mut served = Served::new(one_slot());
-    let capacity = journal::MAX_SHARD_BYTES / journal::MAX_RECORD_BYTES;
+    let mut host = JournalWithStore::new(one_slot());
+    let capacity = journal::MAX_SHARD_BYTES / journal::RECORD_OVERHEAD_BYTES;
     let numbered = |i: usize| {
         let mut id = [0; 16];
         id[..8].copy_from_slice(&i.to_le_bytes());
@@ -276,17 +275,17 @@
         begin
     };
     for i in 0..capacity {
-        served.give(Event::Begin(numbered(i)), NOW);
+        host.handle(Event::Begin(numbered(i)), NOW);
         let finished = Event::Finished {
             attempt: numbered(i).attempt,
             result: journal::AttemptResult::Unknown,
         };
-        served.give(finished, NOW);
+        host.handle(finished, NOW);
     }
-    let refused = served.give(Event::Begin(numbered(capacity)), NOW);
+    let refused = host.handle(Event::Begin(numbered(capacity)), NOW);
     let expected = (reason::Refusal::JournalFull, outcome::Outcome::NotRun);
     assert_eq!(refusal(&refused), Some(expected));
-    let kept = served.store.values().next().expect("a shard");
+    let kept = host.store.values().next().expect("a shard");
     assert_eq!(kept.shard.len(), capacity);
     let encoded = kept.shard.encode().expect("within the bound");
     assert!(encoded.len() <= journal::MAX_SHARD_BYTES);
@@ -294,15 +293,15 @@
 
 #[test]
 fn keys_outside_the_window_are_refused() {
-    let mut served = Served::new(one_slot());
+    let mut host = JournalWithStore::new(one_slot());
     let mut old = begin(1, 1);
     old.key.issued_at = journal::UnixMillis(CLOCK.0 - one_slot().window.retention_ms - 1);
-    let expired = served.give(Event::Begin(old), NOW);
+    let expired = host.handle(Event::Begin(old), NOW);
     let expected = (reason::Refusal::KeyExpired, outcome::Outcome::Unknown);
     assert_eq!(refusal(&expired), Some(expected));
     let mut ahead = begin(2, 2);
     ahead.key.issued_at = CLOCK.plus(one_slot().window.ahead_ms + 1);
-    let early = served.give(Event::Begin(ahead), NOW);
+    let early = host.handle(Event::Begin(ahead), NOW);
     let expected = (reason::Refusal::KeyAhead, outcome::Outcome::Unknown);
     assert_eq!(refusal(&early), Some(expected));
 }
--- a/crates/runtime/src/control/arrive.rs
+++ b/crates/runtime/src/control/arrive.rs
@@ -154,7 +154,7 @@
         let serves = |endpoint: &entity::EndpointId| {
             self.directory
                 .endpoint(*endpoint)
-                .is_some_and(|e| e.serves.has(target))
+                .is_some_and(|e| e.serves.includes(target))
         };
         let view = |(endpoint, load)| forward::LoadView {
             endpoint,
