--- a/crates/core/src/answer/assembler.rs
+++ b/crates/core/src/answer/assembler.rs
@@ -1,4 +1,4 @@
-//! The machine that assembles an answer.
+//! State machine that assembles an answer.
 
 use bytes::Bytes;
 use smallvec::SmallVec;
@@ -9,13 +9,13 @@
 /// Bytes for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delivery {
-    /// Head of the answer, with the first delivery.
+    /// Head of the answer. Present only in the first delivery.
     pub head: Option<answer::Head>,
     /// Bytes of the body, in order.
     pub data: SmallVec<[Bytes; 4]>,
-    /// Whether the answer is whole with these bytes.
+    /// Whether these bytes complete the answer.
     pub end: bool,
-    /// Tokens that the endpoint reports to have used, with the end.
+    /// Tokens used, as the endpoint reports them at the end.
     pub used: Option<units::Tokens>,
 }
 
@@ -24,13 +24,13 @@
 pub enum Discard {
     /// It answers another request.
     OtherRequest,
-    /// It answers an attempt that is not under way.
+    /// It answers an attempt that is not the current one.
     OtherAttempt,
     /// It was received before.
     Duplicate,
 }
 
-/// What to do after a frame.
+/// What to do after a frame was handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Wait for the next frame.
@@ -43,16 +43,16 @@
     Failed(retry::Failure),
 }
 
-/// One attempt that is under way.
+/// The current attempt.
 #[derive(Clone, Debug)]
 struct Attempt {
     number: u8,
     progress: outcome::Progress,
-    /// Whether the attempt goes on with the answer of an earlier one.
+    /// Whether the attempt resumes the answer of an earlier one.
     resumes: bool,
-    /// Number of the next piece.
+    /// Expected number of the next chunk.
     next_seq: u32,
-    /// Bytes received.
+    /// Body bytes received.
     bytes: u64,
 }
 
@@ -62,23 +62,24 @@
     request: request::RequestId,
     /// Whether the caller asked for a stream of events.
     stream: bool,
-    /// Attempt under way. Invariant: frames of any other attempt change nothing.
+    /// Current attempt. Invariant: frames of any other attempt change nothing.
     attempt: Option<Attempt>,
-    /// Head that the current attempt gave, or that was delivered.
+    /// Head that was delivered, or else that of the current attempt.
     head: Option<answer::Head>,
     buffer: buffer::Buffer,
     /// Whether any part of the answer was delivered.
     delivered: bool,
-    /// Last event that was delivered whole.
+    /// Last event that was delivered completely.
     last_event: Option<u32>,
-    /// Whether the delivered bytes end where no resumption can go on.
+    /// Whether the delivered bytes end inside an event, or in an answer that has none, so that no
+    /// resumption is possible.
     inside_event: bool,
-    /// Whether the whole answer was delivered.
+    /// Whether the complete answer was delivered.
     complete: bool,
 }
 
 impl Assembler {
-    /// Makes the assembly of a request without attempts.
+    /// Creates the assembler of a request that has no attempts yet.
     #[must_use]
     pub fn new(request: request::RequestId, stream: bool) -> Self {
         Self {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Begins an attempt and returns the event after which the engine is to resume the answer, or
+    /// Begins an attempt. Returns the event after which the engine has to resume the answer, or
     /// `None` if the request runs from its start.
     pub fn begin_attempt(&mut self, number: u8) -> Option<u32> {
         self.buffer.take();
@@ -111,12 +112,12 @@
         self.last_event.filter(|_| self.delivered)
     }
 
-    /// Records that bytes of the attempt under way were handed to a connection.
+    /// Records that bytes of the current attempt were passed to a connection.
     pub fn mark_sent(&mut self) {
         self.advance(outcome::Progress::Sent);
     }
 
-    /// Takes a frame.
+    /// Handles a received frame.
     pub fn handle_frame(&mut self, frame: answer::Frame) -> Step {
         if frame.request != self.request {
             return Step::Discarded(Discard::OtherRequest);
@@ -128,12 +129,12 @@
         self.handle_part(frame.part)
     }
 
-    /// Ends the attempt under way because its connection was lost, stalled or was never made.
+    /// Ends the current attempt because its connection was lost, stalled or was never made.
     pub fn fail_attempt(&mut self, reason: reason::Refusal) -> retry::Failure {
         self.fail(reason, None, None)
     }
 
-    /// Whether the whole answer was delivered.
+    /// Whether the complete answer was delivered.
     #[must_use]
     pub const fn is_complete(&self) -> bool {
         self.complete
@@ -172,7 +173,7 @@
         Step::Wait
     }
 
-    /// Takes the head. A resumption has to give the head that was delivered.
+    /// Handles the head. In a resumption it has to equal the head that was delivered.
     fn handle_head(&mut self, head: answer::Head) -> Step {
         self.advance(outcome::Progress::Answering);
         match &self.head {
@@ -201,8 +202,8 @@
         self.release(event)
     }
 
-    /// Delivers the pieces of a stream as they come, and those of any other answer at its end or
-    /// when no more can be held.
+    /// Delivers the chunks of a stream on arrival, and those of any other answer once the buffer is
+    /// full.
     fn release(&mut self, event: Option<u32>) -> Step {
         if !self.stream {
             return if self.buffer.is_full() {
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Takes the end marker, which has to match what was received.
+    /// Handles the end marker, whose counts have to match the received chunks.
     fn handle_end(&mut self, chunks: u32, bytes: u64, used: Option<units::Tokens>) -> Step {
         let complete = self.attempt.as_ref().is_some_and(|attempt| {
             attempt.next_seq == chunks && attempt.bytes == bytes && self.head.is_some()
@@ -248,7 +249,7 @@
         Step::Failed(self.fail(reason::Refusal::AnswerIncomplete, None, None))
     }
 
-    /// Closes the attempt under way; its later frames are discarded.
+    /// Ends the current attempt. Frames of it that arrive later are discarded.
     fn fail(
         &mut self,
         reason: reason::Refusal,
@@ -280,9 +281,10 @@
     }
 }
 
-/// Evidence of an attempt from what was seen of it and what the sender reported.
+/// Combines what this hop observed of an attempt with what the sender reported.
 ///
-/// The sender knows more than this hop, except that an answer whose head was seen did run.
+/// The report takes precedence, since the sender knows more than this hop. The exceptions are a
+/// request whose head was received and a resumed answer: both are known to have run.
 fn evidence(
     observed: outcome::Outcome,
     reported: Option<outcome::Outcome>,
--- a/crates/core/src/answer/buffer.rs
+++ b/crates/core/src/answer/buffer.rs
@@ -1,16 +1,17 @@
-//! Pieces that wait for a point at which the answer can be cut and go on.
+//! Buffer for received chunks that cannot be delivered yet.
 
 use bytes::Bytes;
 use smallvec::SmallVec;
 
-/// Most bytes of one answer that are held back, in bytes.
+/// Size above which the buffered part of an answer is delivered before the answer is complete, in
+/// bytes.
 pub const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// Received pieces that were not delivered yet.
+/// Received chunks that were not delivered yet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Buffer {
     chunks: SmallVec<[Bytes; 4]>,
-    /// Bytes of `chunks`. Invariant: at most [`MAX_BUFFERED_BYTES`] and one piece.
+    /// Total size of `chunks`. Invariant: at most [`MAX_BUFFERED_BYTES`] plus one chunk.
     len: usize,
 }
 
@@ -25,7 +26,7 @@
         std::mem::take(&mut self.chunks)
     }
 
-    /// Whether no more may be held back.
+    /// Whether the buffer has to be delivered without waiting for the rest.
     pub(super) fn is_full(&self) -> bool {
         self.len > MAX_BUFFERED_BYTES
     }
--- a/crates/core/src/answer/frame.rs
+++ b/crates/core/src/answer/frame.rs
@@ -1,4 +1,4 @@
-//! Frames of an answer, as the hop that assembles it sees them.
+//! Frames of an answer, as the hop that assembles the answer receives them.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use crate::{outcome, reason, request, units};
 
-/// Part of an answer, bound to its request and attempt.
+/// Part of an answer, with the ids of its request and attempt.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Frame {
     /// Id of the request that the frame answers.
@@ -29,33 +29,33 @@
 /// Part of an answer.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Part {
-    /// The owner took the request into the endpoint's queue.
+    /// The owner added the request to the endpoint's queue.
     Queued,
     /// The owner is about to send the request to the endpoint.
     Dispatched,
     /// Head of the endpoint's answer.
     Head(Head),
-    /// Piece of the answer's body.
+    /// Chunk of the answer's body.
     Chunk {
-        /// Number of the piece in its attempt, from 0.
+        /// Number of the chunk in its attempt, from 0.
         seq: u32,
-        /// Id of the event that the piece ends with, or `None` if it ends inside an event.
+        /// Id of the event that the chunk ends with, or `None` if it ends inside an event.
         event: Option<u32>,
-        /// Bytes of the piece.
+        /// Bytes of the chunk.
         data: Bytes,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End {
-        /// Number of pieces sent in this attempt.
+        /// Number of chunks sent in this attempt.
         chunks: u32,
         /// Bytes sent in this attempt.
         bytes: u64,
-        /// Tokens that the endpoint reports to have used.
+        /// Tokens used, as the endpoint reports them.
         used: Option<units::Tokens>,
     },
-    /// The attempt ends without a whole answer.
+    /// The attempt ended without a complete answer.
     Failed {
-        /// Why.
+        /// Why the attempt failed.
         reason: reason::Refusal,
         /// Whether the request ran, as far as the sender knows.
         outcome: outcome::Outcome,
--- a/crates/core/src/retry/attempts.rs
+++ b/crates/core/src/retry/attempts.rs
@@ -1,33 +1,37 @@
-//! What follows when an attempt at an endpoint ends without an answer for the caller.
+//! Retry limits of one request whose attempts fail.
+//!
+//! Decides after each failed attempt whether the request goes to another endpoint or the caller is
+//! answered. Used by hosts that call endpoints directly; [`super::RetryState`] is the counterpart
+//! for requests that are forwarded between hosts.
 
 use crate::{catalog, outcome, reason};
 
-/// Most tries of one request, those included whose connection was never made.
+/// Maximum number of attempts of one request, including those whose connection was never made.
 pub const MAX_ATTEMPTS: u32 = 6;
 
-/// How an attempt ended without an answer that the caller can be given.
+/// Why an attempt produced no answer that can be passed to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// This host has as many connections to the endpoint as it may.
+    /// This host has reached its limit of connections to the endpoint.
     AtLimit,
-    /// No byte of the request reached an endpoint.
+    /// No byte of the request was sent to an endpoint.
     NotSent,
     /// The endpoint proved that it did not run the request.
     Refused,
-    /// Another endpoint stands at the address; it did not run the request.
+    /// Another endpoint now has the address; it did not run the request.
     EndpointReplaced,
     /// The endpoint ran the request and failed.
     Failed,
-    /// The answer is damaged, or belongs to another request.
+    /// The answer is corrupt, or belongs to another request.
     InvalidAnswer,
-    /// The connection was lost before the answer was whole.
+    /// The connection was lost before the answer was complete.
     ConnectionLost,
-    /// The endpoint has been silent for longer than it may.
+    /// The endpoint sent nothing for longer than the stall timeout.
     Stalled,
 }
 
 impl AttemptFailure {
-    /// What the failure tells of whether the request ran.
+    /// Evidence that the failure gives of whether the request ran.
     #[must_use]
     pub const fn outcome(self) -> outcome::Outcome {
         match self {
@@ -39,7 +43,7 @@
         }
     }
 
-    /// Reason for the caller if no other attempt follows.
+    /// Reason that the caller gets if the request is not retried.
     #[must_use]
     pub const fn refusal(self) -> reason::Refusal {
         match self {
@@ -54,7 +58,7 @@
         }
     }
 
-    /// Reason for another attempt, for the counters.
+    /// Reason under which a retry after this failure is counted.
     #[must_use]
     pub const fn retry(self) -> reason::Retry {
         match self {
@@ -88,39 +92,42 @@
         matches!(self, Self::AtLimit | Self::NotSent)
     }
 
-    /// Whether the request arrived at the endpoint that it was meant for.
+    /// Whether the request may have reached the intended endpoint.
     const fn reached_endpoint(self) -> bool {
         !self.is_unsent() && !matches!(self, Self::EndpointReplaced)
     }
 }
 
-/// What to do after an attempt has ended.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Send the request to another endpoint.
     Retry(reason::Retry),
     /// Answer the caller now.
     GiveUp {
-        /// Why no other attempt follows.
+        /// Why the request is not retried.
         reason: reason::Refusal,
         /// Whether the request ran, joined over its attempts.
         outcome: outcome::Outcome,
     },
 }
 
-/// Attempts of one request.
+/// Counts the attempts of one request and joins their outcomes.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
     kind: catalog::Kind,
-    /// Endpoints that the request may arrive at.
+    /// Maximum number of attempts that may reach an endpoint.
     max_reached: u32,
+    /// Attempts that may have reached their endpoint.
     reached: u32,
+    /// All attempts, including those whose connection was never made.
     attempts: u32,
     outcome: outcome::Outcome,
 }
 
 impl Attempts {
-    /// Makes a request without attempts.
+    /// Creates the state of a request of which at most `max_reached` attempts may reach an
+    /// endpoint.
     #[must_use]
     pub const fn new(kind: catalog::Kind, max_reached: u32) -> Self {
         Self {
@@ -132,7 +139,7 @@
         }
     }
 
-    /// Tries so far.
+    /// Number of attempts so far, including those whose connection was never made.
     #[must_use]
     pub const fn count(&self) -> u32 {
         self.attempts
@@ -144,8 +151,10 @@
         self.outcome
     }
 
-    /// Takes in how an attempt ended and decides what follows. `withdraw` takes one repeat from
-    /// the budget and is called only if all else allows another attempt.
+    /// Records a failed attempt and decides whether the request is retried.
+    ///
+    /// `withdraw` takes one retry from the retry budget and returns whether the budget held one. It
+    /// is called only if every other condition allows a retry.
     pub fn record_failure<F>(&mut self, failure: AttemptFailure, withdraw: F) -> Next
     where
         F: FnOnce() -> bool,
@@ -155,14 +164,15 @@
         self.outcome = self.outcome.join(failure.outcome());
         match self.stop_reason(failure) {
             Some(reason) => self.give_up(reason),
-            // The endpoint sees no arrival, so there is nothing to take from the budget.
+            // The endpoint received nothing, so the retry adds no load and is not charged to the
+            // budget.
             None if failure.is_unsent() => Next::Retry(failure.retry()),
             None if withdraw() => Next::Retry(failure.retry()),
             None => self.give_up(reason::Refusal::RetryBudget),
         }
     }
 
-    /// Why no other attempt may follow, whatever the budget holds.
+    /// Reason that rules out a retry regardless of the budget, if there is one.
     fn stop_reason(&self, failure: AttemptFailure) -> Option<reason::Refusal> {
         let may_repeat = self.kind.is_idempotent() || self.outcome == outcome::Outcome::NotRun;
         let exhausted = self.reached >= self.max_reached || self.attempts >= MAX_ATTEMPTS;
--- a/crates/core/src/retry/backoff.rs
+++ b/crates/core/src/retry/backoff.rs
@@ -1,8 +1,8 @@
-//! Delays before another attempt and before the caller may come back.
+//! Exponential backoff with jitter, for retries and for the delays that callers are given.
 
 use std::time::Duration;
 
-/// Largest exponent of the backoff; keeps the delay from overflowing.
+/// Largest exponent of the backoff, so that the delay cannot overflow.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// Exponential backoff with jitter.
@@ -25,7 +25,8 @@
 }
 
 impl Backoff {
-    /// Delay before retry `n`, from 0, spread evenly over the upper half of the exponential.
+    /// Delay before retry `n`, counted from 0. It is uniform over the upper half of the exponential
+    /// delay; `seed` selects the value.
     #[must_use]
     pub fn delay(self, n: u32, seed: u64) -> Duration {
         let factor = 1_u64 << n.min(MAX_DOUBLINGS);
@@ -34,19 +35,19 @@
     }
 }
 
-/// Spreads a delay evenly over `[longest / 2, longest]`, so that callers which were refused
-/// together do not come back together.
+/// Maps a random value to a delay in `[longest / 2, longest]`, so that callers that were refused
+/// together do not retry together.
 pub(super) fn jitter(longest: Duration, random: u64) -> Duration {
     let half_micros = longest.as_micros() as u64 / 2;
     Duration::from_micros(half_micros + random % (half_micros + 1))
 }
 
-/// Hashes the seed of a request and a number into an even 64-bit value.
+/// Hashes the seed of a request and the index of a delay into a uniform 64-bit value.
 pub(super) fn hash_seed(seed: u64, n: u32) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(&n.to_le_bytes(), seed)
 }
 
-/// Whole seconds of the `Retry-After` header, rounded up.
+/// Delay in whole seconds, rounded up, as the `Retry-After` header carries it.
 #[must_use]
 pub const fn ceil_secs(delay: Duration) -> u64 {
     delay.as_secs() + (delay.subsec_nanos() > 0) as u64
--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -1,8 +1,8 @@
-//! Retry budget of a host.
+//! Retry budget of a host: bounds retries to a fraction of the requests that the host starts.
 
 use crate::reason;
 
-/// Thousandths of a retry in one retry.
+/// Scale of the budget's fixed-point balance.
 const THOUSANDTHS_PER_RETRY: u64 = 1_000;
 
 /// Settings of the retry budget.
@@ -11,7 +11,7 @@
 pub struct BudgetConfig {
     /// Retries that each new request adds to the budget, in thousandths.
     pub per_request_millis: u64,
-    /// Most retries that the budget holds. A new host starts with as many.
+    /// Capacity of the budget in retries. [`Budget::new`] starts full.
     pub reserve: u64,
 }
 
@@ -24,19 +24,20 @@
     }
 }
 
-/// Bounds on retries that all hosts of a fleet keep together, in every window of time.
+/// Bound on the retries of all hosts of a fleet together, in every window of time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetBudget {
     /// Retries per request.
     pub ratio: f64,
-    /// Retries beyond the ratio, of all hosts together.
+    /// Retries beyond the ratio that all hosts together may make in a burst.
     pub extra: f64,
 }
 
 impl FleetBudget {
-    /// The part of one among `hosts` hosts. The parts sum to the whole, whichever of the hosts
-    /// receive the requests: a budget gives out no more than its reserve and what is deposited in
-    /// any window.
+    /// Budget of one of `hosts` hosts.
+    ///
+    /// In any window a budget grants no more than its reserve and the deposits of that window, so
+    /// the shares together stay within the fleet's budget, whichever hosts receive the requests.
     #[must_use]
     pub fn share(&self, hosts: u32) -> BudgetConfig {
         BudgetConfig {
@@ -46,17 +47,17 @@
     }
 }
 
-/// Whether a retry draws on the budget.
+/// Whether a retry is charged to the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Charge {
-    /// The retry is bounded by the limit of attempts alone.
+    /// The retry is not charged; only the limit of attempts bounds it.
     Free,
     /// The retry takes one from the budget.
     Budget,
 }
 
 impl Charge {
-    /// The charge of a retry for the given reason.
+    /// Charge of a retry that is made for the given reason.
     #[must_use]
     pub const fn of(reason: reason::Retry) -> Self {
         match reason {
@@ -75,10 +76,10 @@
     }
 }
 
-/// Retries that a host may still make, refilled by a fraction of the requests that it starts.
+/// Retries that a host may still make, refilled by a fraction of a retry for each new request.
 ///
-/// The refill is counted rather than timed, so that the share of retries in the traffic is bounded
-/// whatever the rate of requests is.
+/// The refill follows the number of requests rather than time, so that the share of retries in the
+/// traffic is bounded at any request rate.
 #[derive(Clone, Debug)]
 pub struct Budget {
     cfg: BudgetConfig,
@@ -87,7 +88,7 @@
 }
 
 impl Budget {
-    /// Makes a full budget.
+    /// Creates a full budget.
     #[must_use]
     pub const fn new(cfg: BudgetConfig) -> Self {
         Self {
@@ -96,26 +97,25 @@
         }
     }
 
-    /// Makes an empty budget, for a host that may have spent its reserve before it was started
-    /// again.
+    /// Creates an empty budget, for a host that may have spent its reserve before a restart.
     #[must_use]
     pub const fn empty(cfg: BudgetConfig) -> Self {
         Self { cfg, balance: 0 }
     }
 
-    /// Goes on under other settings.
+    /// Replaces the settings. The balance stays, up to the new capacity.
     pub fn set_config(&mut self, cfg: BudgetConfig) {
         self.cfg = cfg;
         self.balance = self.balance.min(Self::capacity(cfg));
     }
 
-    /// Adds the share of one new request.
+    /// Adds the refill of one new request.
     pub fn deposit(&mut self) {
         let balance = self.balance.saturating_add(self.cfg.per_request_millis);
         self.balance = balance.min(Self::capacity(self.cfg));
     }
 
-    /// Takes one retry, and says whether the budget held one.
+    /// Takes one retry from the budget, unless it is free. Returns whether the retry may be made.
     pub fn withdraw(&mut self, charge: Charge) -> bool {
         match charge {
             Charge::Free => true,
--- a/crates/core/src/retry/decision.rs
+++ b/crates/core/src/retry/decision.rs
@@ -1,25 +1,24 @@
-//! The decision after a failed attempt.
+//! Decides after each failed attempt whether a forwarded request is retried, and when.
 
 use std::time::Duration;
 
 use crate::retry::backoff::{hash_seed, jitter};
 use crate::{outcome, reason, request, retry, time};
 
-/// Number of the delay before the caller may come back, apart from those of the retries.
+/// Index that seeds the jitter of the caller's `Retry-After` delay. Retries use indices from 0.
 const CALLER_DELAY_INDEX: u32 = u32::MAX;
 
 /// Settings of the retries of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
-    /// Most attempts of one request, the first included.
+    /// Maximum number of attempts of one request, including the first.
     pub max_attempts: u8,
-    /// Most hosts that a request passes through.
+    /// Maximum number of hosts that a request passes through.
     pub max_hops: u8,
     /// Delays between attempts.
     pub backoff: retry::Backoff,
-    /// Longest delay that a caller is asked to wait where the refusal names none, in
-    /// milliseconds.
+    /// Longest `Retry-After` delay if the refusing side gave none, in milliseconds.
     pub caller_delay_ms: u64,
 }
 
@@ -34,14 +33,14 @@
     }
 }
 
-/// What another attempt can do for the answer.
+/// How another attempt could complete the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recovery {
-    /// Nothing was delivered yet: the request can be run from its start.
+    /// Nothing was delivered to the caller yet, so the request can be run from its start.
     Restart,
     /// Part of the answer was delivered and the engine can send the rest of the same answer.
     Resume,
-    /// Part of the answer was delivered and the rest of it cannot be had.
+    /// Part of the answer was delivered and no attempt can provide the rest.
     Impossible,
 }
 
@@ -50,24 +49,24 @@
 pub struct Failure {
     /// Why the attempt failed.
     pub reason: reason::Refusal,
-    /// Evidence of the attempt.
+    /// Evidence that the attempt gives of whether the request ran.
     pub outcome: outcome::Outcome,
-    /// What another attempt can do.
+    /// How another attempt could complete the answer.
     pub recovery: Recovery,
-    /// Delay that the refusing side asks for.
+    /// Delay that the refusing side asked for.
     pub retry_after: Option<Duration>,
 }
 
-/// A request that is not sent again, and what its caller is told.
+/// Final result of a request that is not retried, as its caller gets it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GivenUp {
-    /// Reason that the caller gets: the limit that was met, or else `cause`.
+    /// Reason that the caller gets: the limit that was reached, or else `cause`.
     pub reason: reason::Refusal,
     /// Why the last attempt failed.
     pub cause: reason::Refusal,
     /// Whether the request ran, joined over its attempts.
     pub outcome: outcome::Outcome,
-    /// Delay after which the caller may come back, or `None` if coming back cannot help.
+    /// Delay after which the caller may retry, or `None` if a retry cannot help.
     pub retry_after: Option<Duration>,
 }
 
@@ -76,16 +75,16 @@
 pub enum Decision {
     /// Send the request again.
     Retry {
-        /// Why, for the counters.
+        /// Reason under which the retry is counted.
         reason: reason::Retry,
-        /// When. Not after the deadline.
+        /// When to send it, which is before the deadline.
         at: time::Time,
     },
     /// Answer the caller now.
     GiveUp(GivenUp),
 }
 
-/// Attempts of one request.
+/// Retry state of one request: its attempts, their joined outcome and its deadline.
 #[derive(Clone, Debug)]
 pub struct RetryState {
     cfg: Config,
@@ -94,16 +93,16 @@
     seed: u64,
     /// Attempts started.
     attempts: u8,
-    /// Retries that were delayed, which is the exponent of the backoff.
+    /// Delayed retries so far, which is the exponent of the next backoff.
     backoffs: u32,
     /// Join of the evidence of the ended attempts.
     outcome: outcome::Outcome,
 }
 
 impl RetryState {
-    /// Makes a request without attempts and adds its share to the budget of the host.
+    /// Creates the state of a new request and deposits its refill in the budget of the host.
     ///
-    /// The seed spreads the delays; it should differ from request to request.
+    /// `seed` determines the jitter of the delays and should differ between requests.
     #[must_use]
     pub fn new(
         cfg: Config,
@@ -128,7 +127,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the answer for the caller if the deadline has passed.
+    /// Returns the result for the caller if the deadline has passed.
     pub fn start_attempt(&mut self, now: time::Time) -> Result<u8, GivenUp> {
         if now >= self.deadline {
             return Err(self.given_up(reason::Refusal::Deadline, reason::Refusal::Deadline, None));
@@ -138,7 +137,7 @@
         Ok(attempt)
     }
 
-    /// Time left until the deadline, which is passed along with the request.
+    /// Time until the deadline, which is sent along with the request.
     #[must_use]
     pub const fn remaining(&self, now: time::Time) -> Duration {
         self.deadline.since(now)
@@ -156,7 +155,7 @@
         self.outcome
     }
 
-    /// Records that an attempt failed and decides what follows.
+    /// Records a failed attempt and decides whether the request is retried.
     pub fn record_failure(
         &mut self,
         now: time::Time,
@@ -170,7 +169,7 @@
         }
     }
 
-    /// Why and when the request is sent again, or the reason that the caller gets.
+    /// Reason and time of the retry, or the reason that the caller gets if there is none.
     fn plan_retry(
         &mut self,
         now: time::Time,
@@ -192,7 +191,7 @@
         Ok((reason, at))
     }
 
-    /// The reason for another attempt if one does no harm.
+    /// Reason for a retry, or `None` if a retry cannot help or could run the request twice.
     fn retry_reason(&self, failure: &Failure) -> Option<reason::Retry> {
         let reason = reason::Retry::of(failure.reason);
         match failure.recovery {
@@ -208,8 +207,8 @@
         }
     }
 
-    /// Delay before the next attempt. A refusal that tells the sender to look elsewhere and the
-    /// first resumption are followed at once.
+    /// Delay before the next attempt. Zero after a refusal that redirects the sender to another
+    /// owner or endpoint, and before the first resumption.
     fn delay(&mut self, reason: reason::Retry, asked: Option<Duration>) -> Duration {
         let resumes = reason == reason::Retry::Resume;
         if !resumes && retry::Charge::of(reason) == retry::Charge::Free {
@@ -239,7 +238,7 @@
         }
     }
 
-    /// Delay for the caller where the refusing side named none.
+    /// `Retry-After` delay for the caller if the refusing side gave none.
     fn caller_delay(&self, reason: reason::Refusal) -> Option<Duration> {
         let may_help = matches!(reason.status(), 429 | 502 | 503 | 504);
         let longest = Duration::from_millis(self.cfg.caller_delay_ms);
@@ -247,7 +246,7 @@
     }
 }
 
-/// Counts one more host that a forwarded request passes through.
+/// Number of hosts that a forwarded request has passed through after its next hop.
 ///
 /// # Errors
 ///
--- a/crates/core/src/retry/mod.rs
+++ b/crates/core/src/retry/mod.rs
@@ -1,15 +1,16 @@
-//! Whether a request whose attempt failed is sent again, when, and what its caller is told.
+//! Retries: whether and when a request is sent again after a failed attempt.
 //!
-//! One [`RetryState`] joins the evidence of its attempts into one outcome. Another attempt is made
-//! only if running the request again does no harm or no earlier attempt can have run, and only
-//! within four limits: attempts, the deadline, the hops of a forwarded request and the
-//! [`Budget`] of the host. A request that is given up gets its answer at once, with the delay
-//! after which the caller may come back.
+//! [`RetryState`] joins the evidence of a request's attempts into one outcome. A request is retried
+//! only if it is idempotent or no earlier attempt can have run, and only within four limits: the
+//! number of attempts, the deadline, the hops of a forwarded request and the retry [`Budget`] of
+//! the host. A request that is given up is answered at once, with the delay after which the caller
+//! may retry.
 //!
-//! The budget is a fraction of the requests that the host starts. Failures draw on it, so that
-//! the attempts at a total outage stay within the fraction. Refusals that cost the receiver
-//! nothing and tell the sender to look elsewhere, and resumptions of a stream that is already
-//! being answered, do not draw on it: the limit of attempts bounds them.
+//! The budget is a fraction of the requests that the host starts. Retries after failures are
+//! charged to it, so that the retries during a total outage stay within that fraction. Two kinds of
+//! retry are free, and only the limit of attempts bounds them: those after refusals that cost the
+//! receiver nothing and redirect the sender, and resumptions of a stream that is already being
+//! answered.
 
 mod attempts;
 mod backoff;
--- a/crates/core/src/retry/retry_after.rs
+++ b/crates/core/src/retry/retry_after.rs
@@ -1,25 +1,26 @@
-//! When a refused caller is asked to come back.
+//! `Retry-After` delay of a refused request.
 
 use std::time::Duration;
 
 use crate::reason;
 
-/// Shortest delay.
+/// Lower bound of the longest delay, whatever time remains.
 const MIN_DELAY: Duration = Duration::from_millis(80);
 
-/// Longest delay if another host can probably serve the request at once: it only spreads callers
-/// that were refused together.
+/// Longest delay if another host can probably serve the request at once. The delay then only
+/// spreads callers that were refused together.
 const MAX_DELAY_OTHER_HOST: Duration = Duration::from_millis(400);
 
-/// Part of the time that the caller has left, if no host can serve the request for now. Callers
-/// come back once or twice, so coming back too early is a chance lost.
+/// Longest delay as a fraction of the caller's remaining time, if no host can serve the request at
+/// present. Callers retry only once or twice, so a retry that comes too early wastes one of them.
 const REMAINING_FRACTION: f64 = 0.25;
 
-/// Longest delay.
+/// Longest delay for any reason.
 const MAX_DELAY: Duration = Duration::from_secs(3);
 
-/// Delay after which a caller may come back that has `remaining` to wait. The seed spreads callers over
-/// the upper half of the range.
+/// Delay after which a refused caller should retry, given the time `remaining` until its deadline.
+///
+/// `seed` spreads callers over the upper half of the range.
 #[must_use]
 pub fn retry_after(reason: reason::Refusal, remaining: Duration, seed: u64) -> Duration {
     let longest = match reason {
--- a/crates/core/tests/answer.rs
+++ b/crates/core/tests/answer.rs
@@ -1,4 +1,5 @@
-//! Answers are whole, from one run, and bound to their request, whatever arrives in what order.
+//! An answer reaches the caller complete, from a single run and from its own request, whichever
+//! frames are lost, duplicated, reordered or late.
 
 use bytes::Bytes;
 use pistachiochute_core::{answer, outcome, reason, request, retry};
@@ -28,12 +29,12 @@
     }
 }
 
-/// Text of event `event` in run `run` of request `n`: no two are equal.
+/// Text of event `event` in run `run` of request `n`. Every combination has a different text.
 fn text(n: u128, run: u8, event: u32) -> Bytes {
     Bytes::from(format!("[{n}.{run}.{event}]"))
 }
 
-/// All frames of one attempt that sends the events after `after` of run `run`.
+/// All frames of an attempt that sends the events of run `run` after event `after`.
 fn attempt_frames(n: u128, attempt: u8, run: u8, after: u32, stream: bool) -> Vec<answer::Frame> {
     let mut parts = vec![answer::Part::Dispatched, answer::Part::Head(head())];
     let mut bytes = 0;
@@ -59,7 +60,7 @@
     parts.into_iter().map(bind).collect()
 }
 
-/// What the network does next.
+/// What the network does with the next frame.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     None,
@@ -83,16 +84,17 @@
     ]
 }
 
-/// A caller that collects what it is given, and the network before it.
+/// A caller that collects the delivered bytes, behind a faulty network.
 struct Simulation {
     assembler: answer::Assembler,
     stream: bool,
     body: Vec<u8>,
     complete: bool,
-    /// Frames of earlier attempts, which can arrive late.
+    /// Frames of earlier attempts, which may arrive late.
     stale: Vec<answer::Frame>,
+    /// Frames of another request.
     others: Vec<answer::Frame>,
-    /// Run at the engine whose answer is under way.
+    /// Run at the engine that the current attempt reads.
     run: u8,
 }
 
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Runs one attempt under the faults.
+    /// Runs one attempt under the given faults. Returns how it failed, if it did.
     fn attempt(
         &mut self,
         number: u8,
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What follows a failed attempt, and the share of the retry budget.
+//! Decisions after failed attempts, and the shares of the fleet's retry budget.
 
 use std::time::Duration;
 
@@ -68,8 +68,8 @@
     assert!(matches!(given_up, Next::GiveUp { .. }));
 }
 
-/// Callers that no host can serve for now come back later than those that another host can serve,
-/// and well within the time that they have.
+/// Callers that no host can serve at present are told to wait longer than those that another host
+/// can serve, and for at most a third of their remaining time.
 #[test]
 fn retry_after_is_longer_when_no_host_can_serve() {
     let left = Duration::from_secs(3);
@@ -100,8 +100,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A request that may run once is never sent again after it may have run, and "not run" is
-    /// said only if every attempt was proved not to have run.
+    /// An at-most-once request is never retried after it may have run, and is reported as "not
+    /// run" only if every attempt was proved not to have run.
     #[test]
     fn at_most_once_holds(failures in collection::vec(any_failure(), 1..10)) {
         let mut attempts = Attempts::new(Kind::AtMostOnce, 9);
@@ -119,7 +119,7 @@
         }
     }
 
-    /// No request arrives at more endpoints than its route allows.
+    /// No request reaches more endpoints than its route allows.
     #[test]
     fn arrivals_are_bounded(
         failures in collection::vec(any_failure(), 1..20),
@@ -140,8 +140,8 @@
         }
     }
 
-    /// The hosts' shares together stay within the fleet's budget in every window, wherever the
-    /// requests arrive and however often repeats are asked for.
+    /// The hosts' shares together stay within the fleet's budget in every window, whichever hosts
+    /// receive the requests and however many retries they ask for.
     #[test]
     fn shares_sum_to_the_budget(
         steps in collection::vec((0_usize..4, 0_u64..400, 0_u32..4), 50..300),
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: limits, budget, outcome lattice and the truth of "not run".
+//! Retries: limits, budget, joining of outcomes and the correctness of the outcome "not run".
 
 use std::time::Duration;
 
@@ -37,8 +37,8 @@
     ]
 }
 
-/// How one simulated attempt goes: how far it gets, whether the endpoint runs it, and whether the
-/// refusal of the owner arrives.
+/// A simulated attempt: how far it gets, whether the endpoint runs it, and whether a refusal of the
+/// owner arrives.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     progress: outcome::Progress,
@@ -47,7 +47,8 @@
 }
 
 impl Attempt {
-    /// Makes the attempt consistent: what was never sent cannot run, and an answer means a run.
+    /// Makes the attempt consistent: a request that was never sent cannot run, and one that was
+    /// answered did run.
     fn consistent(mut self) -> Self {
         self.ran &= self.progress > outcome::Progress::NotSent;
         self.ran |= self.progress == outcome::Progress::Answering;
