--- a/crates/core/src/retry/retry_after.rs
+++ b/crates/core/src/retry/retry_after.rs
@@ -5,7 +5,7 @@
 use crate::reason;
 
 /// Lower bound of the longest delay, whatever time remains.
-const MIN_DELAY: Duration = Duration::from_millis(80);
+const MIN_LONGEST_DELAY: Duration = Duration::from_millis(80);
 
 /// Longest delay if another host can probably serve the request at once. The delay then only
 /// spreads callers that were refused together.
@@ -30,6 +30,6 @@
         | reason::Refusal::EndpointRefused => remaining.mul_f64(REMAINING_FRACTION),
         _ => MAX_DELAY_OTHER_HOST,
     };
-    let longest = longest.clamp(MIN_DELAY, MAX_DELAY).as_micros() as u64;
+    let longest = longest.clamp(MIN_LONGEST_DELAY, MAX_DELAY).as_micros() as u64;
     Duration::from_micros(longest / 2 + seed % (longest / 2 + 1))
 }
--- a/crates/core/tests/answer.rs
+++ b/crates/core/tests/answer.rs
@@ -283,12 +283,12 @@
 fn a_long_answer_is_delivered_and_then_cannot_be_repeated() {
     let mut assembler = assembler_in_attempt(false);
     assembler.handle_frame(frame(answer::Part::Head(head())));
-    let piece = answer::Part::Chunk {
+    let chunk = answer::Part::Chunk {
         seq: 0,
         event: None,
         data: Bytes::from(vec![b'x'; answer::MAX_BUFFERED_BYTES + 1]),
     };
-    let step = assembler.handle_frame(frame(piece));
+    let step = assembler.handle_frame(frame(chunk));
     assert!(matches!(step, answer::Step::Deliver(_)));
     let failure = assembler.fail_attempt(reason::Refusal::ConnectionLost);
     assert_eq!(failure.recovery, retry::Recovery::Impossible);
@@ -298,12 +298,12 @@
 fn a_resumed_stream_with_another_head_fails() {
     let mut assembler = assembler_in_attempt(true);
     assembler.handle_frame(frame(answer::Part::Head(head())));
-    let piece = answer::Part::Chunk {
+    let chunk = answer::Part::Chunk {
         seq: 0,
         event: Some(4),
         data: Bytes::from_static(b"data: a\n\n"),
     };
-    assembler.handle_frame(frame(piece));
+    assembler.handle_frame(frame(chunk));
     assembler.fail_attempt(reason::Refusal::ConnectionLost);
     assert_eq!(assembler.begin_attempt(0), Some(4));
     let other = answer::Head {
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -121,7 +121,7 @@
 
     /// No request reaches more endpoints than its route allows.
     #[test]
-    fn arrivals_are_bounded(
+    fn attempts_that_reach_an_endpoint_are_bounded(
         failures in collection::vec(any_failure(), 1..20),
         max in 1_u32..4,
     ) {
@@ -154,21 +154,21 @@
         let mut shares = vec![Budget::new(budget.share(4)); 4];
         let mut now = time::Time::from_secs(50);
         let mut requests: Vec<time::Time> = Vec::new();
-        let mut repeats: Vec<time::Time> = Vec::new();
+        let mut retries: Vec<time::Time> = Vec::new();
         for (host, pause, asks) in steps {
             now += Duration::from_millis(pause);
             shares[host].deposit();
             requests.push(now);
             for _ in 0..asks {
                 if shares[host].withdraw(Charge::Budget) {
-                    repeats.push(now);
+                    retries.push(now);
                 }
             }
             let within = |times: &[time::Time]| {
                 times.iter().filter(|at| now.since(**at) <= WINDOW).count() as f64
             };
             let allowed = budget.ratio * within(&requests) + budget.extra;
-            prop_assert!(within(&repeats) <= allowed);
+            prop_assert!(within(&retries) <= allowed);
         }
     }
 }
