--- a/crates/core/src/limits/authority.rs
+++ b/crates/core/src/limits/authority.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::limits::terms;
+use crate::limits::parameters;
 use crate::time;
 
 /// Span during which a host may use a part of a slice, on its own clock.
@@ -17,7 +17,7 @@
 impl Span {
     /// Whether the span holds a point in time.
     #[must_use]
-    pub fn has(&self, now: time::Time) -> bool {
+    pub fn contains(&self, now: time::Time) -> bool {
         self.from <= now && now < self.until
     }
 
@@ -41,27 +41,27 @@
     /// Quarters of the slice's rates that may be used.
     #[must_use]
     pub fn quarters(&self, now: time::Time) -> u64 {
-        let floor = u64::from(self.floor.has(now)) * terms::FLOOR_QUARTERS;
-        let rest = terms::QUARTERS - terms::FLOOR_QUARTERS;
-        floor + u64::from(self.elastic.has(now)) * rest
+        let floor = u64::from(self.floor.contains(now)) * parameters::FLOOR_QUARTERS;
+        let rest = parameters::QUARTERS - parameters::FLOOR_QUARTERS;
+        floor + u64::from(self.elastic.contains(now)) * rest
     }
 
     /// Quarters of the slice's rate times time between two points.
     #[must_use]
     pub(super) fn quarter_time(&self, from: time::Time, to: time::Time) -> Duration {
-        let floor = self.floor.overlap(from, to) * terms::FLOOR_QUARTERS as u32;
-        let rest = (terms::QUARTERS - terms::FLOOR_QUARTERS) as u32;
+        let floor = self.floor.overlap(from, to) * parameters::FLOOR_QUARTERS as u32;
+        let rest = (parameters::QUARTERS - parameters::FLOOR_QUARTERS) as u32;
         floor + self.elastic.overlap(from, to) * rest
     }
 
     /// The authority over requests in flight, which starts when those that a former holder
     /// granted have been reported again. A span from the start of time has no former holder.
     #[must_use]
-    pub fn of_slots(&self) -> Self {
+    pub fn for_slots(&self) -> Self {
         let later = |span: Span| match span.from {
             time::Time::ZERO => span,
             from => Span {
-                from: from + terms::surely(terms::SLOT_WAIT),
+                from: from + parameters::with_skew_margin(parameters::SLOT_RECOVERY_WAIT),
                 ..span
             },
         };
--- a/crates/core/src/limits/borrower.rs
+++ b/crates/core/src/limits/borrower.rs
@@ -10,8 +10,8 @@
 
 use smallvec::SmallVec;
 
-use super::holding::Holding;
-use crate::limits::message::{Ask, Grant, Short};
+use super::slice_credit::SliceCredit;
+use crate::limits::message::{CreditRequest, Grant, Shortage};
 use crate::limits::{Amount, Layout, SLICES, SliceId, token_burst};
 use crate::{lists, name, reason, request, time, units};
 
@@ -19,21 +19,21 @@
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
 /// Requests of one account that wait for credit.
-const MAX_WAITING: usize = 64;
+const MAX_PENDING: usize = 64;
 
 /// Accounts with state. Requests of further ones are refused until others are forgotten.
 const MAX_ACCOUNTS: usize = 8_192;
 
 /// Slices that are asked for one request. A saturated account would otherwise cost a message to
 /// each slice for each refusal.
-const MAX_ASKS: usize = 3;
+const MAX_CREDIT_REQUESTS: usize = 3;
 
 /// Time after which an account without requests and credit is forgotten.
-const IDLE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// What an admitted request holds until it ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ticket {
+pub struct Permit {
     /// Account that is charged.
     pub account: name::AccountName,
     /// Estimated tokens that were charged.
@@ -46,9 +46,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send the ask to the holder of the slice.
-    Ask(SliceId, Ask),
+    Request(SliceId, CreditRequest),
     /// The request may run.
-    Admitted(request::RequestId, Ticket),
+    Admitted(request::RequestId, Permit),
     /// The request was not run.
     Refused {
         /// The request.
@@ -64,22 +64,22 @@
 pub type Effects = SmallVec<[Effect; 4]>;
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct PendingRequest {
     request: request::RequestId,
     cost: units::Tokens,
     until: time::Time,
     /// Slices that were asked for it.
-    asks: usize,
+    slices_asked: usize,
 }
 
 #[derive(Clone, Debug)]
 struct Account {
     layout: Layout,
     /// Credit of each slice, in the order in which they are asked.
-    holdings: SmallVec<[Holding; 8]>,
-    waiting: VecDeque<Waiting>,
+    slices: SmallVec<[SliceCredit; 8]>,
+    pending: VecDeque<PendingRequest>,
     /// Slice from which the search for credit goes on.
-    turn: usize,
+    next_slice: usize,
     used: time::Time,
 }
 
@@ -88,7 +88,7 @@
 pub struct Borrower {
     boot: u64,
     /// Number of the last ask.
-    asks: u64,
+    requests_sent: u64,
     /// Whether the slice's home domain is that of this host.
     local: [bool; SLICES as usize],
     accounts: BTreeMap<name::AccountName, Account>,
@@ -101,7 +101,7 @@
     pub fn new(boot: u64, local: [bool; SLICES as usize]) -> Self {
         Self {
             boot,
-            asks: 0,
+            requests_sent: 0,
             local,
             accounts: BTreeMap::new(),
         }
@@ -125,44 +125,44 @@
         }
         let full = self.accounts.len() >= MAX_ACCOUNTS && !self.accounts.contains_key(account);
         let state = self.account(now, account, plan);
-        if full || state.waiting.len() >= MAX_WAITING {
+        if full || state.pending.len() >= MAX_PENDING {
             let wait = Some(MAX_WAIT);
             effects.push(refused(request, reason::Refusal::RequestLimit, wait));
             return effects;
         }
-        state.waiting.push_back(Waiting {
+        state.pending.push_back(PendingRequest {
             request,
             cost,
             until: now + MAX_WAIT,
-            asks: 0,
+            slices_asked: 0,
         });
-        self.advance(now, account, &mut effects);
+        self.serve_pending(now, account, &mut effects);
         effects
     }
 
     /// Ends an admitted request. `used` are the tokens that were used, if known.
-    pub fn done(&mut self, now: time::Time, ticket: &Ticket, used: Option<units::Tokens>) {
-        let Some(account) = self.accounts.get_mut(&ticket.account) else {
+    pub fn end_request(&mut self, now: time::Time, permit: &Permit, used: Option<units::Tokens>) {
+        let Some(account) = self.accounts.get_mut(&permit.account) else {
             return;
         };
         account.used = now;
-        let mut holdings = account.holdings.iter_mut();
-        if let Some(holding) = holdings.find(|holding| holding.id == ticket.slice) {
-            holding.end(now, ticket.cost, used.unwrap_or(ticket.cost));
+        let mut slices = account.slices.iter_mut();
+        if let Some(slice) = slices.find(|slice| slice.id == permit.slice) {
+            slice.end_request(now, permit.cost, used.unwrap_or(permit.cost));
         }
     }
 
     /// Takes a grant from the holder of a slice.
-    pub fn granted(&mut self, now: time::Time, grant: &Grant) -> Effects {
+    pub fn handle_grant(&mut self, now: time::Time, grant: &Grant) -> Effects {
         let mut effects = Effects::new();
         let Some(account) = self.accounts.get_mut(&grant.account) else {
             return effects;
         };
-        let mut holdings = account.holdings.iter_mut();
-        if let Some(holding) = holdings.find(|holding| holding.id.slice == grant.slice) {
-            holding.granted(now, grant);
+        let mut slices = account.slices.iter_mut();
+        if let Some(slice) = slices.find(|slice| slice.id.slice == grant.slice) {
+            slice.apply_grant(now, grant);
         }
-        self.advance(now, &grant.account.clone(), &mut effects);
+        self.serve_pending(now, &grant.account.clone(), &mut effects);
         effects
     }
 
@@ -170,18 +170,18 @@
     pub fn tick(&mut self, now: time::Time) -> Effects {
         let mut effects = Effects::new();
         self.accounts.retain(|_, account| {
-            let busy = account.holdings.iter().any(Holding::is_busy);
-            busy || !account.waiting.is_empty() || now.since(account.used) < IDLE
+            let busy = account.slices.iter().any(SliceCredit::is_busy);
+            busy || !account.pending.is_empty() || now.since(account.used) < IDLE_TIMEOUT
         });
         let due = |account: &Account| {
-            let mut holdings = account.holdings.iter();
-            !account.waiting.is_empty() || holdings.any(|holding| holding.has_to_report(now))
+            let mut slices = account.slices.iter();
+            !account.pending.is_empty() || slices.any(|slice| slice.is_report_due(now))
         };
         let due = self.accounts.iter().filter(|(_, account)| due(account));
         let names: Vec<_> = due.map(|(name, _)| name.clone()).collect();
         for name in names {
-            self.advance(now, &name, &mut effects);
-            self.give_back(now, &name, &mut effects);
+            self.serve_pending(now, &name, &mut effects);
+            self.send_due_reports(now, &name, &mut effects);
         }
         effects
     }
@@ -195,72 +195,80 @@
         let layout = Layout::of(name, plan);
         let local = self.local;
         // Hosts start at different slices, so that none is left out by all.
-        let turn = xxhash_rust::xxh3::xxh3_64_with_seed(name.as_str().as_bytes(), self.boot);
-        let turn = (turn % u64::from(SLICES)) as usize;
+        let next_slice = xxhash_rust::xxh3::xxh3_64_with_seed(name.as_str().as_bytes(), self.boot);
+        let next_slice = (next_slice % u64::from(SLICES)) as usize;
         let account = self
             .accounts
             .entry(name.clone())
             .or_insert_with(|| Account {
                 layout,
-                holdings: holdings(layout, local),
-                waiting: VecDeque::new(),
-                turn,
+                slices: slices(layout, local),
+                pending: VecDeque::new(),
+                next_slice,
                 used: now,
             });
         if account.layout != layout {
             account.layout = layout;
-            account.holdings = holdings(layout, local);
+            account.slices = slices(layout, local);
         }
         account.used = now;
         account
     }
 
     /// Admits what the credit covers, and asks for what it lacks or refuses.
-    fn advance(&mut self, now: time::Time, name: &name::AccountName, effects: &mut Effects) {
+    fn serve_pending(&mut self, now: time::Time, name: &name::AccountName, effects: &mut Effects) {
         let Some(account) = self.accounts.get_mut(name) else {
             return;
         };
-        for holding in &mut account.holdings {
-            holding.expire(now);
+        for slice in &mut account.slices {
+            slice.expire(now);
         }
-        while let Some(first) = account.waiting.front().copied() {
+        while let Some(first) = account.pending.front().copied() {
             if let Some(slice) = account.spend(first.cost) {
-                account.waiting.pop_front();
-                let ticket = Ticket {
+                account.pending.pop_front();
+                let permit = Permit {
                     account: name.clone(),
                     cost: first.cost,
                     slice,
                 };
-                effects.push(Effect::Admitted(first.request, ticket));
+                effects.push(Effect::Admitted(first.request, permit));
             } else if first.until <= now {
-                account.waiting.pop_front();
+                account.pending.pop_front();
                 let reason = reason::Refusal::LimitUnconfirmed;
                 effects.push(refused(first.request, reason, Some(MAX_WAIT)));
-            } else if account.holdings.iter().any(Holding::is_asking) {
+            } else if account.slices.iter().any(SliceCredit::has_open_request) {
                 return;
-            } else if let Some(index) = account.next_to_ask(now).filter(|_| first.asks < MAX_ASKS) {
-                self.asks += 1;
-                if let Some(first) = account.waiting.front_mut() {
-                    first.asks += 1;
+            } else if let Some(index) = account
+                .next_slice_to_ask(now)
+                .filter(|_| first.slices_asked < MAX_CREDIT_REQUESTS)
+            {
+                self.requests_sent += 1;
+                if let Some(first) = account.pending.front_mut() {
+                    first.slices_asked += 1;
                 }
-                let ask = account.ask(now, name, index, self.boot, self.asks);
-                effects.push(ask);
+                let effect = account.make_request(now, name, index, self.boot, self.requests_sent);
+                effects.push(effect);
                 return;
             } else {
-                account.waiting.pop_front();
+                account.pending.pop_front();
                 effects.push(account.refuse(now, first.request));
             }
         }
     }
 
-    fn give_back(&mut self, now: time::Time, name: &name::AccountName, effects: &mut Effects) {
+    fn send_due_reports(
+        &mut self,
+        now: time::Time,
+        name: &name::AccountName,
+        effects: &mut Effects,
+    ) {
         let Some(account) = self.accounts.get_mut(name) else {
             return;
         };
-        for index in 0..account.holdings.len() {
-            if account.holdings[index].has_to_report(now) {
-                self.asks += 1;
-                effects.push(account.ask(now, name, index, self.boot, self.asks));
+        for index in 0..account.slices.len() {
+            if account.slices[index].is_report_due(now) {
+                self.requests_sent += 1;
+                effects.push(account.make_request(now, name, index, self.boot, self.requests_sent));
             }
         }
     }
@@ -270,18 +278,18 @@
     /// Takes the credit that one request needs and returns the slice of its slot.
     fn spend(&mut self, cost: units::Tokens) -> Option<SliceId> {
         let need = Amount::of_request(cost);
-        let held = self.holdings.iter();
-        let held = held.fold(Amount::ZERO, |sum, holding| sum.plus(holding.credit()));
+        let held = self.slices.iter();
+        let held = held.fold(Amount::ZERO, |sum, slice| sum.plus(slice.credit()));
         if !held.covers(need) {
             return None;
         }
         let mut left = need;
         let mut slot = None;
-        for holding in &mut self.holdings {
-            let taken = holding.spend(left);
+        for slice in &mut self.slices {
+            let taken = slice.spend(left);
             left = left.minus(taken);
             if taken.slots > units::Requests::ZERO {
-                slot = Some(holding.id);
+                slot = Some(slice.id);
             }
         }
         slot
@@ -289,20 +297,20 @@
 
     /// The next slice that may have credit: the first, which is local if any is, and then the
     /// others in turn.
-    fn next_to_ask(&mut self, now: time::Time) -> Option<usize> {
-        let len = self.holdings.len();
-        let turn = self.turn;
-        let others = (0..len).map(|i| (turn + i) % len).filter(|i| *i > 0);
+    fn next_slice_to_ask(&mut self, now: time::Time) -> Option<usize> {
+        let len = self.slices.len();
+        let next_slice = self.next_slice;
+        let others = (0..len).map(|i| (next_slice + i) % len).filter(|i| *i > 0);
         let mut order = [0].into_iter().chain(others);
-        let next = order.find(|i| self.holdings[*i].may_ask(now))?;
+        let next = order.find(|i| self.slices[*i].can_request(now))?;
         if next > 0 {
-            self.turn = next + 1;
+            self.next_slice = next + 1;
         }
         Some(next)
     }
 
     /// Makes the ask of a slice for all that waits.
-    fn ask(
+    fn make_request(
         &mut self,
         now: time::Time,
         name: &name::AccountName,
@@ -310,54 +318,51 @@
         boot: u64,
         number: u64,
     ) -> Effect {
-        let credit = self.holdings.iter();
-        let credit = credit.fold(Amount::ZERO, |sum, holding| sum.plus(holding.credit()));
+        let credit = self.slices.iter();
+        let credit = credit.fold(Amount::ZERO, |sum, slice| sum.plus(slice.credit()));
         let needs = self
-            .waiting
+            .pending
             .iter()
-            .map(|waiting| Amount::of_request(waiting.cost));
+            .map(|pending| Amount::of_request(pending.cost));
         let want = needs.clone().fold(Amount::ZERO, Amount::plus).minus(credit);
-        let least = needs.take(1).fold(Amount::ZERO, Amount::plus).minus(credit);
-        let holding = &mut self.holdings[index];
-        let wanted = !self.waiting.is_empty();
-        let (held, released) = holding.report(now, number, wanted);
-        let ask = Ask {
+        let minimum = needs.take(1).fold(Amount::ZERO, Amount::plus).minus(credit);
+        let slice = &mut self.slices[index];
+        let wanted = !self.pending.is_empty();
+        let (held, released) = slice.report(now, number, wanted);
+        let request = CreditRequest {
             account: name.clone(),
-            slice: holding.id.slice,
+            slice: slice.id.slice,
             boot,
             number,
-            seen: holding.seen(),
+            last_grant: slice.last_grant(),
             held,
             released,
-            refund: holding.take_refund(),
-            overused: holding.take_overused(),
+            refund: slice.take_refund(),
+            overrun: slice.take_overrun(),
             want,
-            least,
+            minimum,
         };
-        Effect::Ask(holding.id, ask)
+        Effect::Request(slice.id, request)
     }
 
     /// Refuses a request when every slice is short.
     fn refuse(&self, now: time::Time, request: request::RequestId) -> Effect {
-        let shorts = self
-            .holdings
-            .iter()
-            .filter_map(|holding| holding.short(now));
-        let first = shorts.min_by_key(|(_, wait)| *wait);
+        let shortages = self.slices.iter().filter_map(|slice| slice.shortage(now));
+        let first = shortages.min_by_key(|(_, wait)| *wait);
         let (reason, wait) = match first {
-            Some((Short::Requests(_), wait)) => (reason::Refusal::RequestLimit, wait),
-            Some((Short::Tokens(_), wait)) => (reason::Refusal::TokenLimit, wait),
-            Some((Short::Slots, wait)) => (reason::Refusal::InFlightLimit, wait),
-            Some((Short::NotHolder, _)) | None => (reason::Refusal::LimitUnconfirmed, MAX_WAIT),
+            Some((Shortage::Requests(_), wait)) => (reason::Refusal::RequestLimit, wait),
+            Some((Shortage::Tokens(_), wait)) => (reason::Refusal::TokenLimit, wait),
+            Some((Shortage::Slots, wait)) => (reason::Refusal::InFlightLimit, wait),
+            Some((Shortage::NotHolder, _)) | None => (reason::Refusal::LimitUnconfirmed, MAX_WAIT),
         };
         refused(request, reason, Some(wait.max(MAX_WAIT)))
     }
 }
 
-fn holdings(layout: Layout, local: [bool; SLICES as usize]) -> SmallVec<[Holding; 8]> {
+fn slices(layout: Layout, local: [bool; SLICES as usize]) -> SmallVec<[SliceCredit; 8]> {
     let mut ids: Vec<_> = layout.ids().collect();
     ids.sort_by_key(|id| !local[usize::from(id.slice)]);
-    ids.into_iter().map(Holding::new).collect()
+    ids.into_iter().map(SliceCredit::new).collect()
 }
 
 fn refused(
--- a/crates/core/src/limits/bucket.rs
+++ b/crates/core/src/limits/bucket.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use crate::limits::{Amount, Authority, terms};
+use crate::limits::{Amount, Authority, parameters};
 use crate::{lists, time};
 
 /// Billionths in a unit.
-const BILLION: i128 = terms::BILLION as i128;
+const BILLION: i128 = parameters::BILLION as i128;
 
 /// One slice of the limits of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Slice {
+pub(super) struct SliceLimits {
     /// Requests a minute, in `slices` parts.
     pub(super) requests_per_minute: u64,
     /// Tokens a minute, in `slices` parts.
@@ -25,7 +25,7 @@
     pub(super) slices: u64,
 }
 
-impl Slice {
+impl SliceLimits {
     /// The slice with an index below `slices`. The slices sum up to the plan.
     pub(super) fn of(plan: &lists::Plan, slices: u8, index: u8) -> Self {
         let (slices, index) = (u64::from(slices), u64::from(index));
@@ -33,8 +33,8 @@
         Self {
             requests_per_minute: plan.requests_per_minute.0,
             tokens_per_minute: plan.tokens_per_minute.0,
-            request_burst: terms::request_burst(plan.requests_per_minute).0,
-            token_burst: terms::token_burst(plan.tokens_per_minute, plan.longest_answer).0,
+            request_burst: parameters::request_burst(plan.requests_per_minute).0,
+            token_burst: parameters::token_burst(plan.tokens_per_minute, plan.longest_answer).0,
             slots: plan.in_flight.0 / slices + extra,
             slices,
         }
@@ -42,22 +42,22 @@
 
     /// Whether the slice is too small for an amount even when it is full.
     pub(super) fn never_covers(&self, amount: Amount, quarters: u64) -> bool {
-        let parts = self.slices * terms::QUARTERS;
+        let parts = self.slices * parameters::QUARTERS;
         amount.tokens.0 * parts > self.token_burst * quarters
     }
 
     /// Requests in flight that may be granted.
     pub(super) fn slots(&self, now: time::Time, authority: &Authority) -> u64 {
-        let authority = authority.of_slots();
+        let authority = authority.for_slots();
         let floor = match self.slots {
             0 | 1 => 0,
-            slots => (slots * terms::FLOOR_QUARTERS / terms::QUARTERS).max(1),
+            slots => (slots * parameters::FLOOR_QUARTERS / parameters::QUARTERS).max(1),
         };
         let mut granted = 0;
-        if authority.floor.has(now) {
+        if authority.floor.contains(now) {
             granted += floor;
         }
-        if authority.elastic.has(now) {
+        if authority.elastic.contains(now) {
             granted += self.slots - floor;
         }
         granted
@@ -66,22 +66,22 @@
 
 /// Level of one rate, in billionths of a unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Level {
+pub(super) struct BucketLevel {
     /// Credit that may be granted. Negative after use beyond an estimate.
     billionths: i128,
 }
 
-impl Level {
+impl BucketLevel {
     /// Adds what a rate gave, up to a bound that the outstanding credit counts against.
     pub(super) fn refill(&mut self, rate: u64, span: Duration, slices: u64) {
-        let accrued = terms::accrued(rate, span) / u128::from(slices * terms::QUARTERS);
+        let accrued = parameters::accrued(rate, span) / u128::from(slices * parameters::QUARTERS);
         self.billionths += accrued as i128;
     }
 
     /// Cuts the level down to a bound in whole units, less what is outstanding.
-    pub(super) fn clip(&mut self, burst: u64, quarters: u64, slices: u64, outstanding: u64) {
-        let bound = u128::from(burst) * u128::from(quarters) * terms::BILLION;
-        let bound = (bound / u128::from(slices * terms::QUARTERS)) as i128;
+    pub(super) fn cap(&mut self, burst: u64, quarters: u64, slices: u64, outstanding: u64) {
+        let bound = u128::from(burst) * u128::from(quarters) * parameters::BILLION;
+        let bound = (bound / u128::from(slices * parameters::QUARTERS)) as i128;
         let outstanding = i128::from(outstanding) * BILLION;
         self.billionths = self.billionths.min(bound - outstanding);
     }
@@ -109,7 +109,7 @@
         let missing = i128::from(units) * BILLION - self.billionths;
         let missing = u128::try_from(missing).unwrap_or(0);
         let per_minute = u128::from(rate.max(1)) * u128::from(quarters.max(1));
-        let parts = u128::from(slices * terms::QUARTERS);
+        let parts = u128::from(slices * parameters::QUARTERS);
         let micros = missing * 60 * parts / (per_minute * 1_000);
         Duration::from_micros(u64::try_from(micros).unwrap_or(u64::MAX))
     }
--- a/crates/core/src/limits/claims.rs
+++ b/crates/core/src/limits/claims.rs
@@ -8,20 +8,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::limits::{Authority, SHARDS, SLICES, SliceId, Span, terms};
+use crate::limits::{Authority, SHARDS, SLICES, SliceId, Span, parameters};
 use crate::{entity, time};
 
 /// Prefix of the keys of the table.
 pub const PREFIX: &str = "/pistachiochute/limits/";
 
 /// Period at which a holder reads the values of its shards.
-const RENEW: Duration = Duration::from_secs(15);
+const RENEW_INTERVAL: Duration = Duration::from_secs(15);
 
 /// Period at which a host reads the values of shards with slices that it should hold and does not.
-const ACQUIRE: Duration = Duration::from_secs(3);
+const ACQUIRE_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Time for which a holder must be missing from the view before its slices are taken over.
-const MISSING: Duration = Duration::from_secs(10);
+const TAKEOVER_DELAY: Duration = Duration::from_secs(10);
 
 /// A process of a host that holds a part of a slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -40,13 +40,14 @@
     /// The holder, or `None` if it was given up or never held.
     pub holder: Option<Holder>,
     /// What the holder must wait for.
-    pub after: After,
+    #[serde(rename = "after")]
+    pub predecessor: Predecessor,
 }
 
 /// What the holder of a part follows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum After {
+pub enum Predecessor {
     /// Nobody.
     #[default]
     Nobody,
@@ -82,7 +83,7 @@
 
 /// The same for floors, whose next holder has to wait for hours. A domain that is cut off for less
 /// keeps its floors.
-const FLOOR_MISSING: Duration = Duration::from_secs(1800);
+const FLOOR_TAKEOVER_DELAY: Duration = Duration::from_secs(1800);
 
 /// What a host claims.
 #[derive(Clone, Copy, Debug, Default)]
@@ -93,16 +94,16 @@
 
 /// Number by which the store tells writes of a shard's value apart; zero if there is none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Guard(pub u64);
+pub struct CasVersion(pub u64);
 
 /// What the claims ask their surroundings to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Read the value of a shard, and pass it to [`Claims::read`] with the time of sending.
+    /// Read the value of a shard, and pass it to [`Claims::handle_read`] with the time of sending.
     Read(u8),
     /// Write the value of a shard if it still has the guard, and read it again, whatever the
     /// answer is.
-    Write(u8, Guard, Box<Shard>),
+    Write(u8, CasVersion, Box<Shard>),
 }
 
 /// The slices that one host holds.
@@ -113,18 +114,18 @@
     hosts: Vec<(entity::HostId, entity::DomainId)>,
     domains: Vec<entity::DomainId>,
     /// Since when a host that holds a slice is missing from the view. Bounded by the table.
-    missing: BTreeMap<entity::HostId, time::Time>,
+    missing_since: BTreeMap<entity::HostId, time::Time>,
     /// When the store last answered a read.
-    answered: time::Time,
+    last_answer: time::Time,
     /// Slices that this host should hold, by its view.
-    wanted: Vec<SliceId>,
+    assigned: Vec<SliceId>,
     claims: BTreeMap<SliceId, Claim>,
     /// Slices that a write gives up which may still take effect, with the guard of the write.
     /// They are not used before the guard has moved.
-    surrendering: BTreeMap<SliceId, Guard>,
+    surrendering: BTreeMap<SliceId, CasVersion>,
     next_read: [time::Time; SHARDS as usize],
-    /// Guard of the last answer of each shard, and when it came.
-    latest: [(Guard, time::Time); SHARDS as usize],
+    /// CasVersion of the last answer of each shard, and when it came.
+    latest: [(CasVersion, time::Time); SHARDS as usize],
     draining: bool,
 }
 
@@ -136,13 +137,13 @@
             own: Holder { host, boot },
             hosts: Vec::new(),
             domains,
-            missing: BTreeMap::new(),
-            answered: time::Time::ZERO,
-            wanted: Vec::new(),
+            missing_since: BTreeMap::new(),
+            last_answer: time::Time::ZERO,
+            assigned: Vec::new(),
             claims: BTreeMap::new(),
             surrendering: BTreeMap::new(),
             next_read: [time::Time::ZERO; SHARDS as usize],
-            latest: [(Guard(0), time::Time::ZERO); SHARDS as usize],
+            latest: [(CasVersion(0), time::Time::ZERO); SHARDS as usize],
             draining: false,
         }
     }
@@ -151,25 +152,26 @@
     pub fn set_hosts(&mut self, now: time::Time, hosts: Vec<(entity::HostId, entity::DomainId)>) {
         let gone = self.hosts.iter().filter(|host| !hosts.contains(host));
         for (host, _) in gone {
-            self.missing.entry(*host).or_insert(now);
+            self.missing_since.entry(*host).or_insert(now);
         }
         self.hosts = hosts;
-        let is_own = |id: &SliceId| id.candidate(&self.hosts, &self.domains) == Some(self.own.host);
+        let is_own =
+            |id: &SliceId| id.preferred_holder(&self.hosts, &self.domains) == Some(self.own.host);
         let wanted: Vec<_> = SliceId::all().filter(is_own).collect();
         for id in &wanted {
-            if !self.wanted.contains(id) {
+            if !self.assigned.contains(id) {
                 self.next_read[usize::from(id.shard)] = time::Time::ZERO;
             }
         }
-        self.wanted = wanted;
+        self.assigned = wanted;
         let live = |host: &entity::HostId| self.hosts.iter().any(|(other, _)| other == host);
-        self.missing.retain(|host, _| !live(host));
+        self.missing_since.retain(|host, _| !live(host));
     }
 
     /// Host that should hold a slice, by the view. A host that lacks credit asks it first.
     #[must_use]
-    pub fn candidate(&self, id: SliceId) -> Option<entity::HostId> {
-        id.candidate(&self.hosts, &self.domains)
+    pub fn preferred_holder(&self, id: SliceId) -> Option<entity::HostId> {
+        id.preferred_holder(&self.hosts, &self.domains)
     }
 
     /// Spans during which this host may use a slice.
@@ -191,13 +193,18 @@
     pub fn tick(&mut self, now: time::Time) -> Vec<Effect> {
         let mut effects = Vec::new();
         for shard in 0..SHARDS {
-            let wanted = self.wanted.iter().any(|id| id.shard == shard) && !self.draining;
+            let wanted = self.assigned.iter().any(|id| id.shard == shard) && !self.draining;
             let held = self.claims.keys().any(|id| id.shard == shard);
             let next = &mut self.next_read[usize::from(shard)];
             if (wanted || held) && *next <= now {
-                let mut lacking = self.wanted.iter().filter(|id| id.shard == shard);
+                let mut lacking = self.assigned.iter().filter(|id| id.shard == shard);
                 let lacks = lacking.any(|id| !self.claims.contains_key(id)) && wanted;
-                *next = now + if lacks { ACQUIRE } else { RENEW };
+                *next = now
+                    + if lacks {
+                        ACQUIRE_INTERVAL
+                    } else {
+                        RENEW_INTERVAL
+                    };
                 effects.push(Effect::Read(shard));
             }
         }
@@ -206,46 +213,46 @@
 
     /// Takes the value of a shard that was read. `sent` is the time at which the read was sent;
     /// `now` is not before the answer came.
-    pub fn read(
+    pub fn handle_read(
         &mut self,
         sent: time::Time,
         now: time::Time,
         shard: u8,
-        guard: Guard,
+        version: CasVersion,
         value: &Shard,
     ) -> Vec<Effect> {
-        if now.since(self.answered) > 2 * RENEW {
+        if now.since(self.last_answer) > 2 * RENEW_INTERVAL {
             // This host may have been the one that was cut off: its view may be as old.
-            self.missing.clear();
+            self.missing_since.clear();
         }
-        self.answered = now;
+        self.last_answer = now;
         let (latest, at) = self.latest[usize::from(shard)];
-        if guard < latest && sent <= at {
+        if version < latest && sent <= at {
             // An answer that was overtaken by one to a later state.
             return Vec::new();
         }
-        self.latest[usize::from(shard)] = (guard, now);
+        self.latest[usize::from(shard)] = (version, now);
         self.surrendering
-            .retain(|id, sent| id.shard != shard || *sent == guard);
+            .retain(|id, sent| id.shard != shard || *sent == version);
         let mut next = *value;
         for (slice, row) in (0..SLICES).zip(&mut next.rows) {
             let id = SliceId { shard, slice };
             let claim = self.claims.entry(id).or_default();
-            renew(
+            renew_span(
                 &mut claim.elastic,
                 self.own,
                 sent,
                 now,
                 &row.elastic,
-                terms::ELASTIC_LEASE,
+                parameters::ELASTIC_LEASE,
             );
-            renew(
+            renew_span(
                 &mut claim.floor,
                 self.own,
                 sent,
                 now,
                 &row.floor,
-                terms::FLOOR_LEASE,
+                parameters::FLOOR_LEASE,
             );
             // A holder that gives a part up while it still waits passes its own wait on.
             let active = |span: Option<Span>| span.is_some_and(|span| span.from <= now);
@@ -254,28 +261,34 @@
                 self.claims.remove(&id);
             }
             let surrendering = self.surrendering.contains_key(&id);
-            let wanted = self.wanted.contains(&id) && !self.draining && !surrendering;
+            let wanted = self.assigned.contains(&id) && !self.draining && !surrendering;
             let holds = [row.elastic, row.floor].map(|part| part.holder == Some(self.own));
             // A part that is still being waited for is kept: its next holder would wait again.
             let may_keep = !self.draining && !surrendering;
             let keep = [0, 1].map(|i| wanted || (holds[i] && !active[i] && may_keep));
             if (holds[0] && !keep[0]) || (holds[1] && !keep[1]) {
                 self.claims.remove(&id);
-                self.surrendering.insert(id, guard);
+                self.surrendering.insert(id, version);
             }
-            self.move_part(now, [wanted, keep[0]], active[0], MISSING, &mut row.elastic);
-            self.move_part(
+            self.transfer_part(
+                now,
+                [wanted, keep[0]],
+                active[0],
+                TAKEOVER_DELAY,
+                &mut row.elastic,
+            );
+            self.transfer_part(
                 now,
                 [wanted, keep[1]],
                 active[1],
-                FLOOR_MISSING,
+                FLOOR_TAKEOVER_DELAY,
                 &mut row.floor,
             );
         }
         if next == *value {
             return Vec::new();
         }
-        vec![Effect::Write(shard, guard, Box::new(next))]
+        vec![Effect::Write(shard, version, Box::new(next))]
     }
 
     /// Gives up every slice before the process ends. The host grants nothing from now on.
@@ -287,7 +300,7 @@
     }
 
     /// Takes a part over, or gives it up to the host that should hold it.
-    fn move_part(
+    fn transfer_part(
         &mut self,
         now: time::Time,
         [wanted, keep]: [bool; 2],
@@ -299,12 +312,12 @@
             Some(holder) if holder == self.own && !keep => {
                 part.holder = None;
                 if active {
-                    part.after = After::Surrender;
+                    part.predecessor = Predecessor::Surrender;
                 }
             }
             Some(holder) if holder != self.own && wanted && self.is_gone(now, holder, missing) => {
                 part.holder = Some(self.own);
-                part.after = After::Lease;
+                part.predecessor = Predecessor::Lease;
             }
             None if wanted => part.holder = Some(self.own),
             _ => {}
@@ -320,13 +333,13 @@
         if self.hosts.iter().any(|(host, _)| *host == holder.host) {
             return false;
         }
-        let since = *self.missing.entry(holder.host).or_insert(now);
+        let since = *self.missing_since.entry(holder.host).or_insert(now);
         now.since(since) >= missing
     }
 }
 
 /// Extends the span of a part that the host holds, or ends it.
-fn renew(
+fn renew_span(
     span: &mut Option<Span>,
     own: Holder,
     sent: time::Time,
@@ -338,13 +351,13 @@
         *span = None;
         return;
     }
-    let wait = match part.after {
-        After::Nobody => Duration::ZERO,
-        After::Surrender => terms::surely(terms::CREDIT_TTL),
-        After::Lease => terms::surely(lease + terms::CREDIT_TTL),
+    let wait = match part.predecessor {
+        Predecessor::Nobody => Duration::ZERO,
+        Predecessor::Surrender => parameters::with_skew_margin(parameters::CREDIT_TTL),
+        Predecessor::Lease => parameters::with_skew_margin(lease + parameters::CREDIT_TTL),
     };
-    let from = match part.after {
-        After::Nobody => time::Time::ZERO,
+    let from = match part.predecessor {
+        Predecessor::Nobody => time::Time::ZERO,
         _ => now + wait,
     };
     let former = span.unwrap_or(Span { from, until: sent });
--- a/crates/core/src/limits/layout.rs
+++ b/crates/core/src/limits/layout.rs
@@ -1,6 +1,6 @@
 //! Which slices hold the limits of an account.
 
-use crate::limits::terms;
+use crate::limits::parameters;
 use crate::{entity, lists, name};
 
 /// Slices into which the limits of a plan are shared at most.
@@ -30,7 +30,7 @@
     /// The host that should hold the slice: one of the slice's home domain if any is live, and
     /// the same for all hosts that have the same view of the live hosts.
     #[must_use]
-    pub fn candidate(
+    pub fn preferred_holder(
         self,
         hosts: &[(entity::HostId, entity::DomainId)],
         domains: &[entity::DomainId],
@@ -56,7 +56,7 @@
 
 /// The slices that hold the limits of one account.
 ///
-/// Each is large enough for [`terms::MIN_BURST_REQUESTS`] of the largest requests at once, so that
+/// Each is large enough for [`parameters::MIN_BURST_REQUESTS`] of the largest requests at once, so that
 /// its floor can start one; an account with small limits has fewer slices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Layout {
@@ -73,12 +73,12 @@
     #[must_use]
     pub fn of(account: &name::AccountName, plan: &lists::Plan) -> Self {
         let hash = xxhash_rust::xxh3::xxh3_64(account.as_str().as_bytes());
-        let requests = terms::request_burst(plan.requests_per_minute).0;
-        let requests = requests / terms::MIN_BURST_REQUESTS;
-        let largest = terms::largest_request(plan.longest_answer).0.max(1);
-        let tokens = terms::token_burst(plan.tokens_per_minute, plan.longest_answer).0;
-        let tokens = tokens / (terms::MIN_BURST_REQUESTS * largest);
-        let slots = plan.in_flight.0 / terms::QUARTERS;
+        let requests = parameters::request_burst(plan.requests_per_minute).0;
+        let requests = requests / parameters::MIN_BURST_REQUESTS;
+        let largest = parameters::largest_request(plan.longest_answer).0.max(1);
+        let tokens = parameters::token_burst(plan.tokens_per_minute, plan.longest_answer).0;
+        let tokens = tokens / (parameters::MIN_BURST_REQUESTS * largest);
+        let slots = plan.in_flight.0 / parameters::QUARTERS;
         let slices = requests.min(tokens).min(slots).clamp(1, u64::from(SLICES));
         Self {
             shard: (hash % u64::from(SHARDS)) as u8,
--- a/crates/core/src/limits/keeper.rs
+++ b/crates/core/src/limits/lender.rs
@@ -9,15 +9,15 @@
 
 use smallvec::SmallVec;
 
-use super::bucket::{Level, Slice};
-use crate::limits::message::{Ask, Grant, Short};
-use crate::limits::{Amount, Authority, Layout, terms};
+use super::bucket::{BucketLevel, SliceLimits};
+use crate::limits::message::{CreditRequest, Grant, Shortage};
+use crate::limits::{Amount, Authority, Layout, parameters};
 use crate::{entity, lists, name, time, units};
 
 /// Grants to one entry host that it has not reported as seen. More are refused.
 const MAX_UNSEEN: usize = 4;
 
-/// Accounts with state in one keeper. More are refused until others are forgotten.
+/// Accounts with state in one lender. More are refused until others are forgotten.
 const MAX_ACCOUNTS: usize = 8_192;
 
 /// A slice of one account.
@@ -25,7 +25,7 @@
 
 /// A grant that the entry host has not reported as seen.
 #[derive(Clone, Copy, Debug)]
-struct Unseen {
+struct UnseenGrant {
     number: u64,
     amount: Amount,
     granted: time::Time,
@@ -33,24 +33,24 @@
 
 /// Credit of one entry host.
 #[derive(Clone, Debug, Default)]
-struct Outstanding {
+struct HostCredit {
     boot: u64,
     /// Number of the last ask.
-    ask: u64,
+    last_request: u64,
     /// Number of the last grant.
-    grant: u64,
+    last_grant: u64,
     /// Credit that the entry host reported to hold.
     held: Amount,
     /// When it reported this.
     reported: time::Time,
-    unseen: SmallVec<[Unseen; MAX_UNSEEN]>,
+    unseen: SmallVec<[UnseenGrant; MAX_UNSEEN]>,
 }
 
-impl Outstanding {
+impl HostCredit {
     /// Forgets credit that can no longer be spent.
     fn expire(&mut self, now: time::Time) {
-        let credit = terms::surely(terms::CREDIT_TTL);
-        let slots = terms::surely(terms::SLOT_LEASE);
+        let credit = parameters::with_skew_margin(parameters::CREDIT_TTL);
+        let slots = parameters::with_skew_margin(parameters::SLOT_LEASE);
         let live = |amount: Amount, since: time::Time| {
             let age = now.since(since);
             let spendable = if age < credit { amount } else { Amount::ZERO };
@@ -78,20 +78,20 @@
     }
 
     /// Takes over what an ask reports. Returns the credit that was given back.
-    fn report(&mut self, now: time::Time, ask: &Ask) -> Amount {
+    fn apply_report(&mut self, now: time::Time, request: &CreditRequest) -> Amount {
         let mut seen = self.held;
         self.unseen.retain(|unseen| {
-            let is_seen = unseen.number <= ask.seen;
+            let is_seen = unseen.number <= request.last_grant;
             if is_seen {
                 seen = seen.plus(unseen.amount);
             }
             !is_seen
         });
-        let released = ask.released.min(seen.minus(ask.held));
+        let released = request.released.min(seen.minus(request.held));
         // Requests in flight may have been granted by a former holder of the slice.
         self.held = Amount {
-            slots: ask.held.slots,
-            ..ask.held.min(seen)
+            slots: request.held.slots,
+            ..request.held.min(seen)
         };
         self.reported = now;
         released
@@ -101,21 +101,21 @@
 /// Credit of one slice of an account.
 #[derive(Clone, Debug)]
 struct Account {
-    requests: Level,
-    tokens: Level,
+    requests: BucketLevel,
+    tokens: BucketLevel,
     /// Time up to which the levels have been refilled.
     refilled: time::Time,
     /// Starts of the spans of authority that the levels were earned in.
     starts: [time::Time; 2],
     /// Credit by entry host. Bounded by the hosts of the fleet.
-    outstanding: BTreeMap<entity::HostId, Outstanding>,
+    outstanding: BTreeMap<entity::HostId, HostCredit>,
 }
 
 impl Account {
     fn new() -> Self {
         Self {
-            requests: Level::default(),
-            tokens: Level::default(),
+            requests: BucketLevel::default(),
+            tokens: BucketLevel::default(),
             refilled: time::Time::ZERO,
             starts: [time::Time::ZERO; 2],
             outstanding: BTreeMap::new(),
@@ -133,7 +133,7 @@
         all.fold(Amount::ZERO, |sum, outstanding| sum.plus(outstanding.sum()))
     }
 
-    fn refill(&mut self, now: time::Time, slice: &Slice, authority: &Authority) {
+    fn refill(&mut self, now: time::Time, slice: &SliceLimits, authority: &Authority) {
         let starts = [authority.elastic.from, authority.floor.from];
         if starts != self.starts {
             // Another host may have used the slice in between.
@@ -147,19 +147,27 @@
             .refill(slice.requests_per_minute, span, slice.slices);
         self.tokens
             .refill(slice.tokens_per_minute, span, slice.slices);
-        self.clip(now, slice, authority);
+        self.cap(now, slice, authority);
     }
 
-    fn clip(&mut self, now: time::Time, slice: &Slice, authority: &Authority) {
+    fn cap(&mut self, now: time::Time, slice: &SliceLimits, authority: &Authority) {
         let quarters = authority.quarters(now);
-        let out = self.sum();
-        self.requests
-            .clip(slice.request_burst, quarters, slice.slices, out.requests.0);
-        self.tokens
-            .clip(slice.token_burst, quarters, slice.slices, out.tokens.0);
+        let outstanding = self.sum();
+        self.requests.cap(
+            slice.request_burst,
+            quarters,
+            slice.slices,
+            outstanding.requests.0,
+        );
+        self.tokens.cap(
+            slice.token_burst,
+            quarters,
+            slice.slices,
+            outstanding.tokens.0,
+        );
     }
 
-    fn available(&self, now: time::Time, slice: &Slice, authority: &Authority) -> Amount {
+    fn available(&self, now: time::Time, slice: &SliceLimits, authority: &Authority) -> Amount {
         let slots = slice.slots(now, authority);
         Amount {
             requests: units::Requests(self.requests.units()),
@@ -169,9 +177,9 @@
     }
 
     /// Whether more than half of the slice is used up, so that what is given back matters.
-    fn is_tight(&self, now: time::Time, slice: &Slice, authority: &Authority) -> bool {
+    fn is_scarce(&self, now: time::Time, slice: &SliceLimits, authority: &Authority) -> bool {
         let available = self.available(now, slice, authority);
-        let parts = slice.slices * terms::QUARTERS;
+        let parts = slice.slices * parameters::QUARTERS;
         let half = |burst: u64| burst * authority.quarters(now) / parts / 2;
         available.requests.0 < half(slice.request_burst)
             || available.tokens.0 < half(slice.token_burst)
@@ -179,7 +187,13 @@
     }
 
     /// Why less than was wanted is available.
-    fn short(&self, now: time::Time, slice: &Slice, authority: &Authority, want: Amount) -> Short {
+    fn shortage(
+        &self,
+        now: time::Time,
+        slice: &SliceLimits,
+        authority: &Authority,
+        want: Amount,
+    ) -> Shortage {
         let quarters = authority.quarters(now);
         let available = self.available(now, slice, authority);
         if available.tokens < want.tokens {
@@ -187,24 +201,24 @@
             let wait = self
                 .tokens
                 .time_until(want.tokens.0, rate, slice.slices, quarters);
-            return Short::Tokens(wait);
+            return Shortage::Tokens(wait);
         }
         if available.requests < want.requests {
             let rate = slice.requests_per_minute;
-            return Short::Requests(self.requests.time_until(1, rate, slice.slices, quarters));
+            return Shortage::Requests(self.requests.time_until(1, rate, slice.slices, quarters));
         }
-        Short::Slots
+        Shortage::Slots
     }
 }
 
 /// Grants credit out of the slices that a host holds.
 #[derive(Clone, Debug, Default)]
-pub struct Keeper {
+pub struct Lender {
     accounts: BTreeMap<Key, Account>,
 }
 
-impl Keeper {
-    /// Makes a keeper without state.
+impl Lender {
+    /// Makes a lender without state.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -225,76 +239,77 @@
     /// Answers an ask for a slice, under the authority that the host has over it now.
     ///
     /// Returns `None` for an ask that is repeated or out of order.
-    pub fn ask(
+    pub fn handle_request(
         &mut self,
         now: time::Time,
         from: entity::HostId,
-        ask: &Ask,
+        request: &CreditRequest,
         plan: &lists::Plan,
         authority: &Authority,
     ) -> Option<Grant> {
-        let layout = Layout::of(&ask.account, plan);
+        let layout = Layout::of(&request.account, plan);
         let quarters = authority.quarters(now);
-        let index = layout.index(ask.slice).filter(|_| quarters > 0);
+        let index = layout.index(request.slice).filter(|_| quarters > 0);
         let Some(index) = index else {
-            return Some(grant(ask, 0, Amount::ZERO, Some(Short::NotHolder)));
+            return Some(grant(request, 0, Amount::ZERO, Some(Shortage::NotHolder)));
         };
-        let key = (ask.account.clone(), ask.slice);
+        let key = (request.account.clone(), request.slice);
         if self.accounts.len() >= MAX_ACCOUNTS && !self.accounts.contains_key(&key) {
-            return Some(grant(ask, 0, Amount::ZERO, Some(Short::NotHolder)));
+            return Some(grant(request, 0, Amount::ZERO, Some(Shortage::NotHolder)));
         }
-        let slice = Slice::of(plan, layout.slices, index);
+        let slice = SliceLimits::of(plan, layout.slices, index);
         let account = self.accounts.entry(key).or_insert_with(Account::new);
         account.expire(now);
         account.refill(now, &slice, authority);
         let outstanding = account.outstanding.entry(from).or_default();
-        if outstanding.boot != ask.boot {
-            restart(outstanding, ask.boot)?;
+        if outstanding.boot != request.boot {
+            restart(outstanding, request.boot)?;
         }
-        if ask.number <= outstanding.ask {
+        if request.number <= outstanding.last_request {
             return None;
         }
-        outstanding.ask = ask.number;
-        let released = outstanding.report(now, ask);
+        outstanding.last_request = request.number;
+        let released = outstanding.apply_report(now, request);
         account.requests.add(released.requests.0);
-        account.tokens.add(released.tokens.0 + ask.refund.0);
-        account.tokens.take(ask.overused.0);
-        account.clip(now, &slice, authority);
+        account.tokens.add(released.tokens.0 + request.refund.0);
+        account.tokens.take(request.overrun.0);
+        account.cap(now, &slice, authority);
         let available = account.available(now, &slice, authority);
-        let useful = available.covers(ask.least) || slice.never_covers(ask.least, quarters);
+        let useful =
+            available.covers(request.minimum) || slice.never_covers(request.minimum, quarters);
         let amount = if useful {
-            available.min(ask.want)
+            available.min(request.want)
         } else {
             Amount::ZERO
         };
-        let short =
-            (!amount.covers(ask.want)).then(|| account.short(now, &slice, authority, ask.least));
+        let shortage = (!amount.covers(request.want))
+            .then(|| account.shortage(now, &slice, authority, request.minimum));
         account.requests.take(amount.requests.0);
         account.tokens.take(amount.tokens.0);
-        let tight = account.is_tight(now, &slice, authority);
+        let scarce = account.is_scarce(now, &slice, authority);
         let outstanding = account.outstanding.entry(from).or_default();
         if amount == Amount::ZERO {
-            let grant = grant(ask, outstanding.grant, amount, short);
-            return Some(Grant { tight, ..grant });
+            let grant = grant(request, outstanding.last_grant, amount, shortage);
+            return Some(Grant { scarce, ..grant });
         }
         if outstanding.unseen.len() >= MAX_UNSEEN {
             account.requests.add(amount.requests.0);
             account.tokens.add(amount.tokens.0);
-            return Some(grant(ask, 0, Amount::ZERO, Some(Short::Slots)));
+            return Some(grant(request, 0, Amount::ZERO, Some(Shortage::Slots)));
         }
-        outstanding.grant += 1;
-        outstanding.unseen.push(Unseen {
-            number: outstanding.grant,
+        outstanding.last_grant += 1;
+        outstanding.unseen.push(UnseenGrant {
+            number: outstanding.last_grant,
             amount,
             granted: now,
         });
-        let grant = grant(ask, outstanding.grant, amount, short);
-        Some(Grant { tight, ..grant })
+        let grant = grant(request, outstanding.last_grant, amount, shortage);
+        Some(Grant { scarce, ..grant })
     }
 
     /// Forgets accounts whose state equals that of an account never met.
     pub fn tick(&mut self, now: time::Time) {
-        let full = terms::surely(terms::BURST) * 2;
+        let full = parameters::with_skew_margin(parameters::BURST_WINDOW) * 2;
         for account in self.accounts.values_mut() {
             account.expire(now);
             account.outstanding.retain(|_, outstanding| {
@@ -316,7 +331,7 @@
 
 /// Takes over a later process of an entry host. What the former one held stays outstanding until
 /// it expires. Returns `None` for an ask of an earlier process.
-fn restart(outstanding: &mut Outstanding, boot: u64) -> Option<()> {
+fn restart(outstanding: &mut HostCredit, boot: u64) -> Option<()> {
     if boot < outstanding.boot {
         return None;
     }
@@ -325,13 +340,13 @@
     let granted = granted
         .unwrap_or(outstanding.reported)
         .max(outstanding.reported);
-    *outstanding = Outstanding {
+    *outstanding = HostCredit {
         boot,
-        ..Outstanding::default()
+        ..HostCredit::default()
     };
     if amount != Amount::ZERO {
         let number = u64::MAX;
-        outstanding.unseen.push(Unseen {
+        outstanding.unseen.push(UnseenGrant {
             number,
             amount,
             granted,
@@ -340,14 +355,19 @@
     Some(())
 }
 
-fn grant(ask: &Ask, number: u64, amount: Amount, short: Option<Short>) -> Grant {
+fn grant(
+    request: &CreditRequest,
+    number: u64,
+    amount: Amount,
+    shortage: Option<Shortage>,
+) -> Grant {
     Grant {
-        account: ask.account.clone(),
-        slice: ask.slice,
-        ask: ask.number,
+        account: request.account.clone(),
+        slice: request.slice,
+        request_number: request.number,
         number,
         amount,
-        short,
-        tight: true,
+        shortage,
+        scarce: true,
     }
 }
--- a/crates/core/src/limits/holding.rs
+++ b/crates/core/src/limits/slice_credit.rs
@@ -4,21 +4,21 @@
 
 use smallvec::SmallVec;
 
-use crate::limits::message::{Grant, Short};
-use crate::limits::{Amount, SliceId, terms};
+use crate::limits::message::{Grant, Shortage};
+use crate::limits::{Amount, SliceId, parameters};
 use crate::{time, units};
 
 /// Time after which an unanswered ask counts as lost.
-const ASK_TIMEOUT: Duration = Duration::from_millis(250);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Time for which a holder that did not answer, or does not hold the slice, is not asked again.
-const AVOID: Duration = Duration::from_secs(1);
+const HOLDER_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Longest time for which a holder that was short is not asked again.
-const MAX_SHORT: Duration = Duration::from_millis(200);
+const MAX_SHORTAGE_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Time after which a tight slice is told what is given back.
-const TIGHT_REPORT: Duration = Duration::from_secs(1);
+const URGENT_REPORT_DELAY: Duration = Duration::from_secs(1);
 
 /// Credit of one grant.
 #[derive(Clone, Copy, Debug)]
@@ -30,38 +30,38 @@
 
 /// Credit of one slice of an account.
 #[derive(Clone, Debug)]
-pub(super) struct Holding {
+pub(super) struct SliceCredit {
     pub(super) id: SliceId,
     credits: SmallVec<[Credit; 2]>,
     /// Requests in flight that take a slot of the slice.
     in_use: units::Requests,
     /// Largest grant number received.
-    seen: u64,
+    last_grant: u64,
     /// The ask that is not answered, and when it was sent.
-    asking: Option<(u64, time::Time)>,
+    open_request: Option<(u64, time::Time)>,
     /// Until when the slice is not asked, and why.
-    short: Option<(Short, time::Time, time::Time)>,
+    shortage: Option<(Shortage, time::Time, time::Time)>,
     refund: units::Tokens,
-    overused: units::Tokens,
+    overrun: units::Tokens,
     /// Since when there is something to report that no ask has carried.
-    report_since: Option<time::Time>,
+    unreported_since: Option<time::Time>,
     /// Whether the slice is so far used up that what is given back matters.
-    tight: bool,
+    scarce: bool,
 }
 
-impl Holding {
+impl SliceCredit {
     pub(super) fn new(id: SliceId) -> Self {
         Self {
             id,
             credits: SmallVec::new(),
             in_use: units::Requests::ZERO,
-            seen: 0,
-            asking: None,
-            short: None,
+            last_grant: 0,
+            open_request: None,
+            shortage: None,
             refund: units::Tokens::ZERO,
-            overused: units::Tokens::ZERO,
-            report_since: None,
-            tight: false,
+            overrun: units::Tokens::ZERO,
+            unreported_since: None,
+            scarce: false,
         }
     }
 
@@ -74,45 +74,49 @@
     /// Forgets credit whose time is over, and an ask that was not answered.
     pub(super) fn expire(&mut self, now: time::Time) {
         self.credits.retain(|credit| now < credit.until);
-        if let Some((_, sent)) = self.asking
-            && now.since(sent) >= ASK_TIMEOUT
+        if let Some((_, sent)) = self.open_request
+            && now.since(sent) >= REQUEST_TIMEOUT
         {
-            self.asking = None;
-            self.short = Some((Short::NotHolder, now + AVOID, now + AVOID));
+            self.open_request = None;
+            self.shortage = Some((
+                Shortage::NotHolder,
+                now + HOLDER_BACKOFF,
+                now + HOLDER_BACKOFF,
+            ));
         }
     }
 
-    pub(super) const fn is_asking(&self) -> bool {
-        self.asking.is_some()
+    pub(super) const fn has_open_request(&self) -> bool {
+        self.open_request.is_some()
     }
 
     /// Whether requests are in flight or there is something to report.
     pub(super) fn is_busy(&self) -> bool {
-        self.in_use > units::Requests::ZERO || self.report_since.is_some()
+        self.in_use > units::Requests::ZERO || self.unreported_since.is_some()
     }
 
-    pub(super) fn may_ask(&self, now: time::Time) -> bool {
-        self.asking.is_none() && self.short.is_none_or(|(_, until, _)| until <= now)
+    pub(super) fn can_request(&self, now: time::Time) -> bool {
+        self.open_request.is_none() && self.shortage.is_none_or(|(_, until, _)| until <= now)
     }
 
-    pub(super) fn has_to_report(&self, now: time::Time) -> bool {
-        let wait = if self.tight {
-            TIGHT_REPORT
+    pub(super) fn is_report_due(&self, now: time::Time) -> bool {
+        let wait = if self.scarce {
+            URGENT_REPORT_DELAY
         } else {
-            terms::SLOT_REPORT
+            parameters::SLOT_REPORT_INTERVAL
         };
         let due = |since| now.since(since) >= wait;
-        self.asking.is_none() && self.report_since.is_some_and(due)
+        self.open_request.is_none() && self.unreported_since.is_some_and(due)
     }
 
     /// Why the slice is short and how long it will be.
-    pub(super) fn short(&self, now: time::Time) -> Option<(Short, Duration)> {
-        self.short
-            .map(|(short, _, enough)| (short, enough.since(now)))
+    pub(super) fn shortage(&self, now: time::Time) -> Option<(Shortage, Duration)> {
+        self.shortage
+            .map(|(shortage, _, enough)| (shortage, enough.since(now)))
     }
 
-    pub(super) const fn seen(&self) -> u64 {
-        self.seen
+    pub(super) const fn last_grant(&self) -> u64 {
+        self.last_grant
     }
 
     /// Takes as much of an amount as there is credit for.
@@ -130,42 +134,47 @@
     }
 
     /// Ends a request that takes a slot.
-    pub(super) fn end(&mut self, now: time::Time, charged: units::Tokens, used: units::Tokens) {
+    pub(super) fn end_request(
+        &mut self,
+        now: time::Time,
+        charged: units::Tokens,
+        used: units::Tokens,
+    ) {
         self.in_use -= units::Requests(1);
         self.refund += charged - used;
-        self.overused += used - charged;
-        self.report_since.get_or_insert(now);
+        self.overrun += used - charged;
+        self.unreported_since.get_or_insert(now);
     }
 
-    pub(super) fn granted(&mut self, now: time::Time, grant: &Grant) {
-        let Some((number, sent)) = self.asking else {
+    pub(super) fn apply_grant(&mut self, now: time::Time, grant: &Grant) {
+        let Some((number, sent)) = self.open_request else {
             return;
         };
-        if number != grant.ask {
+        if number != grant.request_number {
             return;
         }
-        self.asking = None;
-        self.tight = grant.tight;
-        self.seen = self.seen.max(grant.number);
-        let until = sent + terms::CREDIT_TTL;
+        self.open_request = None;
+        self.scarce = grant.scarce;
+        self.last_grant = self.last_grant.max(grant.number);
+        let until = sent + parameters::CREDIT_TTL;
         if grant.amount != Amount::ZERO && now < until {
             self.credits.push(Credit {
                 amount: grant.amount,
                 until,
             });
-            self.report_since.get_or_insert(now);
+            self.unreported_since.get_or_insert(now);
         }
-        self.short = grant.short.map(|short| {
-            let wait = match short {
-                Short::NotHolder => AVOID,
-                Short::Requests(wait) | Short::Tokens(wait) => wait,
-                Short::Slots => MAX_SHORT,
+        self.shortage = grant.shortage.map(|shortage| {
+            let wait = match shortage {
+                Shortage::NotHolder => HOLDER_BACKOFF,
+                Shortage::Requests(wait) | Shortage::Tokens(wait) => wait,
+                Shortage::Slots => MAX_SHORTAGE_BACKOFF,
             };
-            let avoid = match short {
-                Short::NotHolder => AVOID,
-                _ => wait.min(MAX_SHORT),
+            let avoid = match shortage {
+                Shortage::NotHolder => HOLDER_BACKOFF,
+                _ => wait.min(MAX_SHORTAGE_BACKOFF),
             };
-            (short, now + avoid, now + wait)
+            (shortage, now + avoid, now + wait)
         });
     }
 
@@ -177,13 +186,13 @@
         number: u64,
         wanted: bool,
     ) -> (Amount, Amount) {
-        self.asking = Some((number, now));
+        self.open_request = Some((number, now));
         let released = if wanted { Amount::ZERO } else { self.credit() };
         if !wanted {
             self.credits.clear();
         }
         let open = !self.credits.is_empty() || self.in_use > units::Requests::ZERO;
-        self.report_since = open.then_some(now);
+        self.unreported_since = open.then_some(now);
         let credit = self.credit();
         let held = Amount {
             slots: credit.slots + self.in_use,
@@ -196,7 +205,7 @@
         std::mem::take(&mut self.refund)
     }
 
-    pub(super) fn take_overused(&mut self) -> units::Tokens {
-        std::mem::take(&mut self.overused)
+    pub(super) fn take_overrun(&mut self) -> units::Tokens {
+        std::mem::take(&mut self.overrun)
     }
 }
--- a/crates/core/tests/limits_claims.rs
+++ b/crates/core/tests/limits_claims.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use pistachiochute_core::limits::claims::{Claims, Effect, Guard, Shard};
-use pistachiochute_core::limits::{SKEW_PPM, SLICES, SliceId};
+use pistachiochute_core::limits::claims::{CasVersion, Claims, Effect, Shard};
+use pistachiochute_core::limits::{MAX_CLOCK_SKEW_PPM, SLICES, SliceId};
 use pistachiochute_core::{entity, time};
 use proptest::prelude::*;
 
@@ -39,10 +39,10 @@
     Read {
         process: usize,
         sent: u64,
-        answer: Option<(u64, Guard, Shard)>,
+        answer: Option<(u64, CasVersion, Shard)>,
     },
     Write {
-        guard: Guard,
+        version: CasVersion,
         value: Shard,
     },
 }
@@ -51,7 +51,7 @@
     truth: u64,
     processes: Vec<Process>,
     flights: Vec<Flight>,
-    store: (Guard, Shard),
+    store: (CasVersion, Shard),
 }
 
 impl World {
@@ -84,9 +84,9 @@
                     });
                 }
                 Effect::Read(_) => {}
-                Effect::Write(_, guard, value) => {
+                Effect::Write(_, version, value) => {
                     let value = *value;
-                    self.flights.push(Flight::Write { guard, value });
+                    self.flights.push(Flight::Write { version, value });
                     // The answer is not looked at: the value is read again in any case.
                     self.flights.push(Flight::Read {
                         process,
@@ -105,9 +105,9 @@
         }
         let index = index % self.flights.len();
         match self.flights.remove(index) {
-            Flight::Write { guard, value } => {
-                if guard == self.store.0 {
-                    self.store = (Guard(guard.0 + 1), value);
+            Flight::Write { version, value } => {
+                if version == self.store.0 {
+                    self.store = (CasVersion(version.0 + 1), value);
                 }
             }
             Flight::Read {
@@ -125,12 +125,12 @@
             Flight::Read {
                 process,
                 sent,
-                answer: Some((_, guard, value)),
+                answer: Some((_, version, value)),
             } => {
                 let p = &mut self.processes[process];
                 if !p.paused {
                     let (sent, now) = (p.now(sent), p.now(self.truth));
-                    let effects = p.claims.read(sent, now, SHARD, guard, &value);
+                    let effects = p.claims.handle_read(sent, now, SHARD, version, &value);
                     self.run(process, effects);
                 }
             }
@@ -157,8 +157,8 @@
         for p in &self.processes {
             let authority = p.claims.authority(id);
             let now = p.now(self.truth);
-            holders[0] += usize::from(authority.elastic.has(now));
-            holders[1] += usize::from(authority.floor.has(now));
+            holders[0] += usize::from(authority.elastic.contains(now));
+            holders[1] += usize::from(authority.floor.contains(now));
         }
         holders
     }
@@ -176,10 +176,10 @@
     /// the stated bound, and calls to the store are late or lost.
     #[test]
     fn one_holder_at_a_time(
-        skews in proptest::collection::vec(-(SKEW_PPM as i64)..=SKEW_PPM as i64, HOSTS as usize),
+        skews in proptest::collection::vec(-(MAX_CLOCK_SKEW_PPM as i64)..=MAX_CLOCK_SKEW_PPM as i64, HOSTS as usize),
         ops in proptest::collection::vec((0_u8..100, any::<u16>()), 1..600),
     ) {
-        let store = (Guard(0), Shard::default());
+        let store = (CasVersion(0), Shard::default());
         let mut world = World { truth: 0, processes: Vec::new(), flights: Vec::new(), store };
         for (i, skew) in skews.iter().enumerate() {
             world.start(i as u32, 7_777_777 * (i as u64 + 1), *skew);
@@ -225,7 +225,7 @@
 
 #[test]
 fn slices_of_a_lost_host_move_after_the_lease_and_back_by_surrender() {
-    let store = (Guard(0), Shard::default());
+    let store = (CasVersion(0), Shard::default());
     let mut world = World {
         truth: 0,
         processes: Vec::new(),
@@ -284,36 +284,36 @@
 #[test]
 fn clock_bound_is_stated() {
     assert_eq!(
-        pistachiochute_core::limits::surely(Duration::from_secs(1_000)),
+        pistachiochute_core::limits::with_skew_margin(Duration::from_secs(1_000)),
         Duration::from_micros(1_001_000_001)
     );
 }
 
 /// Reads the shard until the claims ask for nothing more, and lets every write take effect.
-fn settle_alone(claims: &mut Claims, store: &mut (Guard, Shard), now: time::Time) {
+fn settle_alone(claims: &mut Claims, store: &mut (CasVersion, Shard), now: time::Time) {
     loop {
-        let effects = claims.read(now, now, SHARD, store.0, &store.1);
-        let Some(Effect::Write(_, guard, value)) = effects.into_iter().next() else {
+        let effects = claims.handle_read(now, now, SHARD, store.0, &store.1);
+        let Some(Effect::Write(_, version, value)) = effects.into_iter().next() else {
             return;
         };
-        assert_eq!(guard, store.0);
-        *store = (Guard(guard.0 + 1), *value);
+        assert_eq!(version, store.0);
+        *store = (CasVersion(version.0 + 1), *value);
     }
 }
 
 #[test]
 fn wait_covers_the_lease_on_the_slowest_clock() {
-    let mut store = (Guard(0), Shard::default());
+    let mut store = (CasVersion(0), Shard::default());
     let mut first = Claims::new(host(0), 1, vec![domain(0)]);
     first.set_hosts(time::Time::ZERO, vec![(host(0), domain(0))]);
     settle_alone(&mut first, &mut store, time::Time::ZERO);
     let mut second = Claims::new(host(1), 1, vec![domain(0)]);
     second.set_hosts(time::Time::ZERO, vec![(host(1), domain(0))]);
-    second.read(time::Time::ZERO, time::Time::ZERO, SHARD, store.0, &store.1);
+    second.handle_read(time::Time::ZERO, time::Time::ZERO, SHARD, store.0, &store.1);
     // Both clocks count from the last read of the first host, which is also the moment before
     // the second host takes over; the first runs slow and the second fast.
     let start = time::Time::from_secs(100);
-    second.read(
+    second.handle_read(
         start - Duration::from_secs(20),
         start - Duration::from_secs(20),
         SHARD,
@@ -324,7 +324,7 @@
     settle_alone(&mut second, &mut store, start);
     settle_alone(&mut second, &mut store, start + Duration::from_secs(30));
     let at = |truth: u64, sign: i64| {
-        let skew = truth as i64 * sign * SKEW_PPM as i64 / 1_000_000;
+        let skew = truth as i64 * sign * MAX_CLOCK_SKEW_PPM as i64 / 1_000_000;
         start + Duration::from_micros(truth.saturating_add_signed(skew))
     };
     let id = SliceId {
@@ -333,8 +333,8 @@
     };
     let mut handed_over = false;
     for truth in (59_900_000..62_400_000).step_by(1_000) {
-        let old = first.authority(id).elastic.has(at(truth, -1));
-        let new = second.authority(id).elastic.has(at(truth, 1));
+        let old = first.authority(id).elastic.contains(at(truth, -1));
+        let new = second.authority(id).elastic.contains(at(truth, 1));
         assert!(!(old && new), "both at {truth}");
         handed_over |= new;
     }
@@ -346,7 +346,7 @@
 
 #[test]
 fn slice_that_is_being_given_up_is_not_used_until_the_write_is_settled() {
-    let mut store = (Guard(0), Shard::default());
+    let mut store = (CasVersion(0), Shard::default());
     let mut claims = Claims::new(host(0), 1, vec![domain(0)]);
     claims.set_hosts(time::Time::ZERO, vec![(host(0), domain(0))]);
     settle_alone(&mut claims, &mut store, time::Time::ZERO);
@@ -355,16 +355,16 @@
         slice: 0,
     };
     let now = time::Time::from_secs(1);
-    assert!(claims.authority(id).elastic.has(now));
+    assert!(claims.authority(id).elastic.contains(now));
     claims.set_hosts(time::Time::ZERO, vec![(host(1), domain(0))]);
-    let effects = claims.read(now, now, SHARD, store.0, &store.1);
+    let effects = claims.handle_read(now, now, SHARD, store.0, &store.1);
     assert!(matches!(effects[..], [Effect::Write(..)]));
     // The answer is lost, and the view changes back before the write has taken effect.
     claims.set_hosts(time::Time::ZERO, vec![(host(0), domain(0))]);
-    claims.read(now, now, SHARD, store.0, &store.1);
-    assert!(!claims.authority(id).elastic.has(now));
-    // Another write has moved the guard, so the lost one can no longer take effect.
-    let moved = Guard(store.0.0 + 7);
-    claims.read(now, now, SHARD, moved, &store.1);
-    assert!(claims.authority(id).elastic.has(now));
+    claims.handle_read(now, now, SHARD, store.0, &store.1);
+    assert!(!claims.authority(id).elastic.contains(now));
+    // Another write has moved the version, so the lost one can no longer take effect.
+    let moved = CasVersion(store.0.0 + 7);
+    claims.handle_read(now, now, SHARD, moved, &store.1);
+    assert!(claims.authority(id).elastic.contains(now));
 }
--- a/crates/core/tests/limits_credit.rs
+++ b/crates/core/tests/limits_credit.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use pistachiochute_core::limits::borrower::{self, Borrower, Ticket};
-use pistachiochute_core::limits::keeper::Keeper;
-use pistachiochute_core::limits::message::{Ask, Grant};
+use pistachiochute_core::limits::borrower::{self, Borrower, Permit};
+use pistachiochute_core::limits::lender::Lender;
+use pistachiochute_core::limits::message::{CreditRequest, Grant};
 use pistachiochute_core::limits::{
-    self, Amount, Authority, Layout, SKEW_PPM, SLICES, SliceId, Span,
+    self, Amount, Authority, Layout, MAX_CLOCK_SKEW_PPM, SLICES, SliceId, Span,
 };
 use pistachiochute_core::{entity, lists, name, request, time, units};
 use proptest::prelude::*;
@@ -36,17 +36,17 @@
 }
 
 enum Flight {
-    Ask(usize, SliceId, Ask),
+    Ask(usize, SliceId, CreditRequest),
     Grant(usize, Grant),
 }
 
 struct World {
     truth: u64,
-    /// Each slice has a keeper of its own. The last span of authority of each, in true time.
-    keepers: BTreeMap<u8, (Keeper, Authority, i64)>,
+    /// Each slice has a lender of its own. The last span of authority of each, in true time.
+    lenders: BTreeMap<u8, (Lender, Authority, i64)>,
     entries: Vec<(Borrower, i64)>,
     flights: Vec<Flight>,
-    running: Vec<(usize, Ticket)>,
+    running: Vec<(usize, Permit)>,
     /// Charges of requests and tokens by true time; refunds are negative.
     charges: Vec<(u64, i64, i64)>,
     requests: u128,
@@ -62,12 +62,12 @@
             elastic: whole,
             floor: whole,
         };
-        let keepers = Layout::of(&account(), &plan()).ids();
+        let lenders = Layout::of(&account(), &plan()).ids();
         let skew = |i: usize| skews[i % skews.len()];
         Self {
             truth: 1_000_000_000,
-            keepers: keepers
-                .map(|id| (id.slice, (Keeper::new(), authority, skew(id.slice.into()))))
+            lenders: lenders
+                .map(|id| (id.slice, (Lender::new(), authority, skew(id.slice.into()))))
                 .collect(),
             entries: (0..ENTRIES as usize)
                 .map(|i| (Borrower::new(1, [false; SLICES as usize]), skew(i + 3)))
@@ -93,10 +93,12 @@
     fn run(&mut self, entry: usize, effects: borrower::Effects) {
         for effect in effects {
             match effect {
-                borrower::Effect::Ask(id, ask) => self.flights.push(Flight::Ask(entry, id, ask)),
-                borrower::Effect::Admitted(_, ticket) => {
-                    self.charges.push((self.truth, 1, ticket.cost.0 as i64));
-                    self.running.push((entry, ticket));
+                borrower::Effect::Request(id, ask) => {
+                    self.flights.push(Flight::Ask(entry, id, ask))
+                }
+                borrower::Effect::Admitted(_, permit) => {
+                    self.charges.push((self.truth, 1, permit.cost.0 as i64));
+                    self.running.push((entry, permit));
                 }
                 borrower::Effect::Refused { .. } => {}
             }
@@ -111,16 +113,16 @@
         let flight = self.flights.remove(index);
         match &flight {
             Flight::Ask(entry, id, ask) => {
-                let (keeper, authority, skew) = self.keepers.get_mut(&id.slice).unwrap();
+                let (lender, authority, skew) = self.lenders.get_mut(&id.slice).unwrap();
                 let now = at(self.truth, *skew);
                 let host = entity::HostId::new(*entry as u32).unwrap();
-                if let Some(grant) = keeper.ask(now, host, ask, &plan(), authority) {
+                if let Some(grant) = lender.handle_request(now, host, ask, &plan(), authority) {
                     self.flights.push(Flight::Grant(*entry, grant));
                 }
             }
             Flight::Grant(entry, grant) => {
                 let (borrower, skew) = &mut self.entries[*entry];
-                let effects = borrower.granted(at(self.truth, *skew), grant);
+                let effects = borrower.handle_grant(at(self.truth, *skew), grant);
                 self.run(*entry, effects);
             }
         }
@@ -133,8 +135,8 @@
         let now = at(self.truth, self.entries[entry].1);
         let effects = self.entries[entry].0.tick(now);
         self.run(entry, effects);
-        for (keeper, _, skew) in self.keepers.values_mut() {
-            keeper.tick(at(self.truth, *skew));
+        for (lender, _, skew) in self.lenders.values_mut() {
+            lender.tick(at(self.truth, *skew));
         }
     }
 
@@ -142,19 +144,19 @@
         if self.running.is_empty() {
             return;
         }
-        let (entry, ticket) = self.running.remove(index % self.running.len());
-        let used = units::Tokens(used).min(ticket.cost);
+        let (entry, permit) = self.running.remove(index % self.running.len());
+        let used = units::Tokens(used).min(permit.cost);
         let now = at(self.truth, self.entries[entry].1);
-        self.entries[entry].0.done(now, &ticket, Some(used));
+        self.entries[entry].0.end_request(now, &permit, Some(used));
         self.charges
-            .push((self.truth, 0, used.0 as i64 - ticket.cost.0 as i64));
+            .push((self.truth, 0, used.0 as i64 - permit.cost.0 as i64));
     }
 
     /// Replaces the holder of a slice by a new one, after the wait that claims keep.
     fn move_slice(&mut self, slice: u8) {
-        if let Some((keeper, authority, skew)) = self.keepers.get_mut(&slice) {
-            *keeper = Keeper::new();
-            let from = at(self.truth, *skew) + limits::surely(limits::CREDIT_TTL);
+        if let Some((lender, authority, skew)) = self.lenders.get_mut(&slice) {
+            *lender = Lender::new();
+            let from = at(self.truth, *skew) + limits::with_skew_margin(limits::CREDIT_TTL);
             let until = time::Time::from_secs(1 << 40);
             let span = Span { from, until };
             *authority = Authority {
@@ -198,11 +200,11 @@
         ..ProptestConfig::default()
     })]
 
-    /// Asks and grants are lost, repeated and reordered, entry hosts and keepers pause, slices
+    /// Asks and grants are lost, repeated and reordered, entry hosts and lenders pause, slices
     /// change hands, and clocks differ within the stated bound.
     #[test]
     fn charges_stay_within_rate_and_burst(
-        skews in proptest::collection::vec(-(SKEW_PPM as i64)..=SKEW_PPM as i64, 8),
+        skews in proptest::collection::vec(-(MAX_CLOCK_SKEW_PPM as i64)..=MAX_CLOCK_SKEW_PPM as i64, 8),
         ops in proptest::collection::vec((0_u8..100, any::<u16>()), 1..1_500),
     ) {
         let mut world = World::new(&skews);
@@ -275,26 +277,36 @@
     };
     let id = Layout::of(&account(), &plan).ids().next().unwrap();
     let want = Amount::of_request(units::Tokens(100));
-    let ask = |number: u64| Ask {
+    let ask = |number: u64| CreditRequest {
         account: account(),
         slice: id.slice,
         boot: 1,
         number,
-        seen: 0,
+        last_grant: 0,
         held: Amount::ZERO,
         released: Amount::ZERO,
         refund: units::Tokens(1_000),
-        overused: units::Tokens::ZERO,
+        overrun: units::Tokens::ZERO,
         want,
-        least: want,
+        minimum: want,
     };
     let host = entity::HostId::new(1).unwrap();
     let now = time::Time::from_secs(100);
-    let mut keeper = Keeper::new();
-    assert!(keeper.ask(now, host, &ask(2), &plan, &authority).is_some());
-    assert_eq!(keeper.ask(now, host, &ask(2), &plan, &authority), None);
-    assert_eq!(keeper.ask(now, host, &ask(1), &plan, &authority), None);
-    assert_eq!(keeper.outstanding(&account(), id.slice), want);
+    let mut lender = Lender::new();
+    assert!(
+        lender
+            .handle_request(now, host, &ask(2), &plan, &authority)
+            .is_some()
+    );
+    assert_eq!(
+        lender.handle_request(now, host, &ask(2), &plan, &authority),
+        None
+    );
+    assert_eq!(
+        lender.handle_request(now, host, &ask(1), &plan, &authority),
+        None
+    );
+    assert_eq!(lender.outstanding(&account(), id.slice), want);
 }
 
 /// An entry host that keeps credit for as long as it may, gives back and spends at will.
@@ -307,33 +319,36 @@
 }
 
 impl Hoarder {
-    fn ask(&mut self, now: time::Time, slice: u8, want: u64, give_back: bool) -> Ask {
+    fn ask(&mut self, now: time::Time, slice: u8, want: u64, give_back: bool) -> CreditRequest {
         self.credits.retain(|(_, until)| now < *until);
         let last = if give_back { self.credits.pop() } else { None };
         let credits = self.credits.iter();
         self.number += 1;
         self.asked = Some((self.number, now));
-        Ask {
+        CreditRequest {
             account: account(),
             slice,
             boot: 1,
             number: self.number,
-            seen: self.seen,
+            last_grant: self.seen,
             held: credits.fold(Amount::ZERO, |sum, (amount, _)| sum.plus(*amount)),
             released: last.map_or(Amount::ZERO, |(amount, _)| amount),
             refund: units::Tokens::ZERO,
-            overused: units::Tokens::ZERO,
+            overrun: units::Tokens::ZERO,
             want: Amount {
                 requests: units::Requests(want),
                 tokens: units::Tokens(want * 100),
                 slots: units::Requests::ZERO,
             },
-            least: Amount::ZERO,
+            minimum: Amount::ZERO,
         }
     }
 
     fn granted(&mut self, grant: &Grant) {
-        if let Some((number, sent)) = self.asked.filter(|(number, _)| *number == grant.ask) {
+        if let Some((number, sent)) = self
+            .asked
+            .filter(|(number, _)| *number == grant.request_number)
+        {
             debug_assert!(number <= self.number);
             self.asked = None;
             self.seen = self.seen.max(grant.number);
@@ -353,14 +368,14 @@
     /// The same with entry hosts that hoard credit and spend it at the last moment.
     #[test]
     fn hoarded_credit_stays_within_rate_and_burst(
-        skews in proptest::collection::vec(-(SKEW_PPM as i64)..=SKEW_PPM as i64, 4),
+        skews in proptest::collection::vec(-(MAX_CLOCK_SKEW_PPM as i64)..=MAX_CLOCK_SKEW_PPM as i64, 4),
         ops in proptest::collection::vec((0_u8..100, any::<u16>()), 1..400),
     ) {
         let slices: Vec<_> = Layout::of(&account(), &plan()).ids().map(|id| id.slice).collect();
         let whole = Span { from: time::Time::ZERO, until: time::Time::from_secs(1 << 40) };
         let authority = Authority { elastic: whole, floor: whole };
-        // One keeper holds every slice, and each hoarder asks for one of them.
-        let mut keeper = Keeper::new();
+        // One lender holds every slice, and each hoarder asks for one of them.
+        let mut lender = Lender::new();
         let mut hoarders: Vec<_> = (0..slices.len()).map(|_| Hoarder::default()).collect();
         let mut asks = Vec::new();
         let mut grants = Vec::new();
@@ -381,7 +396,7 @@
                     let (who, ask) = if op == 30 { asks[i].clone() } else { asks.remove(i) };
                     let host = entity::HostId::new(who as u32).unwrap();
                     let now = at(truth, skews[3]);
-                    let grant = keeper.ask(now, host, &ask, &plan(), &authority);
+                    let grant = lender.handle_request(now, host, &ask, &plan(), &authority);
                     grants.extend(grant.map(|grant| (who, grant)));
                 }
                 55..=74 if !grants.is_empty() => {
--- a/crates/measure/src/lists/limits/faults.rs
+++ b/crates/measure/src/lists/limits/faults.rs
@@ -43,7 +43,7 @@
         }
         let domains: Vec<_> = (0..DOMAINS).map(entity::DomainId::from_index).collect();
         self.candidates = views.map(|view| {
-            let candidate = |id: SliceId| Some((id, id.candidate(&view, &domains)?));
+            let candidate = |id: SliceId| Some((id, id.preferred_holder(&view, &domains)?));
             SliceId::all().filter_map(candidate).collect()
         });
     }
--- a/crates/measure/src/lists/limits/mod.rs
+++ b/crates/measure/src/lists/limits/mod.rs
@@ -5,11 +5,11 @@
 
 use std::collections::BTreeMap;
 
-use pistachiochute_core::limits::borrower::{self, Borrower, Ticket};
-use pistachiochute_core::limits::claims::{self, Claims, Guard, Shard};
-use pistachiochute_core::limits::keeper::Keeper;
-use pistachiochute_core::limits::message::{Ask, Grant, Short};
-use pistachiochute_core::limits::{SHARDS, SKEW_PPM, SLICES, SliceId};
+use pistachiochute_core::limits::borrower::{self, Borrower, Permit};
+use pistachiochute_core::limits::claims::{self, CasVersion, Claims, Shard};
+use pistachiochute_core::limits::lender::Lender;
+use pistachiochute_core::limits::message::{CreditRequest, Grant, Shortage};
+use pistachiochute_core::limits::{MAX_CLOCK_SKEW_PPM, SHARDS, SLICES, SliceId};
 use pistachiochute_core::{entity, entity::Entity as _, lists, name, request, time, units};
 use rand::{Rng as _, SeedableRng as _};
 use rand_distr::Distribution as _;
@@ -95,13 +95,13 @@
     Tick(usize),
     Arrive(usize),
     /// An ask arrives: asking host, host asked, and slice.
-    Ask(usize, usize, SliceId, Ask),
+    Ask(usize, usize, SliceId, CreditRequest),
     Grant(usize, u64, Grant),
-    End(usize, u64, Ticket, units::Tokens),
+    End(usize, u64, Permit, units::Tokens),
     /// A read arrives at the store: host, process, time of sending and shard.
     Read(usize, u64, u64, u8),
-    Value(usize, u64, u64, u8, Guard, Box<Shard>),
-    Write(usize, u64, u8, Guard, Box<Shard>),
+    Value(usize, u64, u64, u8, CasVersion, Box<Shard>),
+    Write(usize, u64, u8, CasVersion, Box<Shard>),
     Restart,
     Stop(usize),
     View,
@@ -109,7 +109,7 @@
 
 struct Host {
     claims: Claims,
-    keeper: Keeper,
+    lender: Lender,
     borrower: Borrower,
     boot: u64,
     skew_ppm: i64,
@@ -130,7 +130,7 @@
     index: BTreeMap<name::AccountName, usize>,
     /// Mean time between two requests of each account, in microseconds.
     gaps: Vec<f64>,
-    table: Vec<(Guard, Shard)>,
+    table: Vec<(CasVersion, Shard)>,
     charges: Vec<Charges>,
     /// Requests and tokens that each account used after the start has settled.
     used: Vec<(u64, u64)>,
@@ -178,7 +178,7 @@
             index: names.iter().cloned().zip(0..).collect(),
             names,
             gaps: (0..ACCOUNTS).map(|i| 1e6 / (limit_s(i) * DEMAND)).collect(),
-            table: vec![(Guard(0), Shard::default()); usize::from(SHARDS)],
+            table: vec![(CasVersion(0), Shard::default()); usize::from(SHARDS)],
             charges: vec![Vec::new(); ACCOUNTS],
             used: vec![(0, 0); ACCOUNTS],
             candidates: [BTreeMap::new(), BTreeMap::new()],
@@ -191,7 +191,8 @@
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(12),
         };
         for i in 0..HOSTS {
-            let skew_ppm = rng.random_range(-(SKEW_PPM as i64)..=SKEW_PPM as i64);
+            let skew_ppm =
+                rng.random_range(-(MAX_CLOCK_SKEW_PPM as i64)..=MAX_CLOCK_SKEW_PPM as i64);
             let host = world.host(i, skew_ppm);
             world.hosts.push(host);
             world.agenda.add(rng.random_range(0..TICK), Event::Tick(i));
@@ -221,7 +222,7 @@
         }
         Host {
             claims: Claims::new(entity::HostId::from_index(index), boot, domains),
-            keeper: Keeper::new(),
+            lender: Lender::new(),
             borrower: Borrower::new(boot, local),
             boot,
             skew_ppm,
@@ -245,14 +246,16 @@
             Event::Grant(to, boot, grant) => {
                 if self.acts(now, to, boot) {
                     let time = self.clock(to, now);
-                    let effects = self.hosts[to].borrower.granted(time, &grant);
+                    let effects = self.hosts[to].borrower.handle_grant(time, &grant);
                     self.run(now, to, effects);
                 }
             }
-            Event::End(host, boot, ticket, used) => {
+            Event::End(host, boot, permit, used) => {
                 if self.acts(now, host, boot) {
                     let time = self.clock(host, now);
-                    self.hosts[host].borrower.done(time, &ticket, Some(used));
+                    self.hosts[host]
+                        .borrower
+                        .end_request(time, &permit, Some(used));
                 }
             }
             Event::Read(host, boot, sent, shard) => {
@@ -267,7 +270,7 @@
                 if self.acts(now, host, boot) && !Self::is_cut(now, host) {
                     let (sent, time) = (self.clock(host, sent), self.clock(host, now));
                     let claims = &mut self.hosts[host].claims;
-                    let effects = claims.read(sent, time, shard, guard, &value);
+                    let effects = claims.handle_read(sent, time, shard, guard, &value);
                     self.claim(now, host, effects);
                 }
             }
@@ -275,7 +278,7 @@
                 self.writes += 1;
                 let entry = &mut self.table[usize::from(shard)];
                 if entry.0 == guard {
-                    *entry = (Guard(guard.0 + 1), *value);
+                    *entry = (CasVersion(guard.0 + 1), *value);
                 }
                 self.agenda.add(now, Event::Read(host, boot, now, shard));
             }
@@ -306,7 +309,7 @@
         let time = self.clock(host, now);
         let effects = self.hosts[host].borrower.tick(time);
         self.run(now, host, effects);
-        self.hosts[host].keeper.tick(time);
+        self.hosts[host].lender.tick(time);
         let effects = self.hosts[host].claims.tick(time);
         self.claim(now, host, effects);
     }
@@ -339,7 +342,7 @@
     fn run(&mut self, now: u64, host: usize, effects: borrower::Effects) {
         for effect in effects {
             match effect {
-                borrower::Effect::Ask(id, ask) => {
+                borrower::Effect::Request(id, ask) => {
                     self.bytes += 2 * population::EXCHANGE_BYTES;
                     self.bytes += population::message_bytes(&ask).unwrap_or_default();
                     let candidates = &self.candidates[self.hosts[host].side];
@@ -351,18 +354,18 @@
                         self.agenda.add(now + delay, event);
                     }
                 }
-                borrower::Effect::Admitted(_, ticket) => {
-                    let account = self.index[&ticket.account];
-                    self.charges[account].push((now, 1, ticket.cost.0 as i64));
-                    let used = units::Tokens(self.rng.random_range(400..=ticket.cost.0.max(400)));
-                    let used = used.min(ticket.cost);
+                borrower::Effect::Admitted(_, permit) => {
+                    let account = self.index[&permit.account];
+                    self.charges[account].push((now, 1, permit.cost.0 as i64));
+                    let used = units::Tokens(self.rng.random_range(400..=permit.cost.0.max(400)));
+                    let used = used.min(permit.cost);
                     if now >= SETTLE_S * SECOND {
                         self.used[account].0 += 1;
                         self.used[account].1 += used.0;
                     }
                     let length = self.rng.random_range(200_000..8_000_000);
                     let boot = self.hosts[host].boot;
-                    let end = Event::End(host, boot, ticket, used);
+                    let end = Event::End(host, boot, permit, used);
                     self.agenda.add(now + length, end);
                 }
                 borrower::Effect::Refused { .. } => {}
@@ -370,7 +373,7 @@
         }
     }
 
-    fn ask(&mut self, now: u64, (from, holder): (usize, usize), id: SliceId, ask: &Ask) {
+    fn ask(&mut self, now: u64, (from, holder): (usize, usize), id: SliceId, ask: &CreditRequest) {
         if !self.acts(now, holder, self.hosts[holder].boot) {
             return;
         }
@@ -379,11 +382,13 @@
         let host = &mut self.hosts[holder];
         let authority = host.claims.authority(id);
         let from_id = entity::HostId::from_index(from);
-        let grant = host.keeper.ask(time, from_id, ask, plan, &authority);
+        let grant = host
+            .lender
+            .handle_request(time, from_id, ask, plan, &authority);
         let Some(grant) = grant else { return };
-        if grant.short != Some(Short::NotHolder) {
+        if grant.shortage != Some(Shortage::NotHolder) {
             // The estimate stays charged until the holder of the slice has taken the correction.
-            let corrected = ask.overused.0 as i64 - ask.refund.0 as i64;
+            let corrected = ask.overrun.0 as i64 - ask.refund.0 as i64;
             self.charges[self.index[&ask.account]].push((now, 0, corrected));
         }
         self.bytes += population::message_bytes(&grant).unwrap_or_default();
