--- a/crates/core/src/owner/mod.rs
+++ b/crates/core/src/owner/mod.rs
@@ -166,7 +166,7 @@
         }
         pool.take_over(endpoint, 0, now);
         // What the host still runs from an earlier time as the owner.
-        pool.carry(endpoint, running);
+        pool.add_in_flight(endpoint, running);
         true
     }
 
@@ -213,9 +213,14 @@
     }
 
     /// Takes in what another host says of the load of an endpoint that it owns.
-    pub fn view(&mut self, now: time::Time, endpoint: entity::EndpointId, reading: pool::Reading) {
+    pub fn view(
+        &mut self,
+        now: time::Time,
+        endpoint: entity::EndpointId,
+        remote: pool::RemoteLoad,
+    ) {
         if let Some(&class) = self.classes.get(endpoint) {
-            self.pool_mut(class).view(endpoint, reading, now);
+            self.pool_mut(class).update_view(endpoint, remote, now);
         }
     }
 
@@ -229,7 +234,7 @@
         let effects = station.offer(now, work, fits);
         let dispatched = effects.iter().any(|e| matches!(e, Effect::Dispatch(_)));
         if dispatched && let Some(&class) = self.classes.get(endpoint) {
-            self.pool_mut(class).start(endpoint, load);
+            self.pool_mut(class).record_start(endpoint, load);
         }
         effects
     }
@@ -296,7 +301,7 @@
                 continue;
             };
             if let Some(&class) = self.classes.get(endpoint) {
-                self.pool_mut(class).start(endpoint, started);
+                self.pool_mut(class).record_start(endpoint, started);
             }
         }
         effects
--- a/crates/core/src/routing/bound/mod.rs
+++ b/crates/core/src/routing/bound/mod.rs
@@ -11,11 +11,11 @@
 //!
 //! # Age of the mean
 //!
-//! The owner knows the load of its own endpoints exactly. The others are [views](pool::Pool::view)
+//! The owner knows the load of its own endpoints exactly. The others are [views](pool::Pool::update_view)
 //! that travel on forwarded requests, probes and load reports. A view counts until it is
 //! [`Settings::view_horizon`] old; after that its endpoint leaves the mean until a newer view
 //! comes. Work elsewhere may have ended since a view was taken, so the mean is lowered by a
-//! [margin](drain::Drain::margin) that covers the completions of that time.
+//! [margin](completions::CompletionStats::staleness_margin) that covers the completions of that time.
 //!
 //! # Two owners
 //!
@@ -25,7 +25,7 @@
 //! other still see each other's work one report later. While that lasts the endpoint is contested:
 //! each admits only up to the mean, not to the multiple.
 
-pub mod drain;
+pub mod completions;
 mod member;
 pub mod pool;
 
--- a/crates/core/src/routing/bound/pool.rs
+++ b/crates/core/src/routing/bound/pool.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::routing::bound::{self, drain, member};
+use crate::routing::bound::{self, completions, member};
 use crate::{entity, map, time};
 
 pub use member::Mean;
@@ -26,14 +26,14 @@
 
 /// What another host says of the load of an endpoint that it owns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reading {
+pub struct RemoteLoad {
     /// Load of the endpoint.
     pub load: u64,
-    /// Age of the reading.
+    /// Age of the observation.
     pub age: Duration,
     /// Whether the other host reports every change at once from now on, or `None` if the message
     /// does not say so.
-    pub prompt: Option<bool>,
+    pub pushes_changes: Option<bool>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -47,7 +47,7 @@
 pub struct Pool {
     settings: bound::Settings,
     members: map::EntityMap<entity::EndpointId, Member>,
-    drain: drain::Drain,
+    completions: completions::CompletionStats,
 }
 
 impl Pool {
@@ -57,7 +57,7 @@
         Self {
             settings,
             members: map::EntityMap::new(),
-            drain: drain::Drain::default(),
+            completions: completions::CompletionStats::default(),
         }
     }
 
@@ -66,8 +66,8 @@
     pub fn join(&mut self, endpoint: entity::EndpointId, now: time::Time) {
         let idle = member::View {
             load: 0,
-            taken: now,
-            prompt: false,
+            observed_at: now,
+            pushes_changes: false,
         };
         self.members
             .get_or_insert_with(endpoint, || Member::Other(idle));
@@ -88,9 +88,9 @@
         }
         let owned = member::Owned {
             foreign: report.min(MAX_LOAD),
-            surely_foreign: report.min(MAX_LOAD),
-            foreign_at: now,
-            former_until: Some(now + self.settings.grace),
+            foreign_lower_bound: report.min(MAX_LOAD),
+            foreign_updated_at: now,
+            former_owner_expires_at: Some(now + self.settings.grace),
             contested_until: now + self.settings.grace + self.settings.contested,
             ..member::Owned::default()
         };
@@ -100,10 +100,10 @@
     /// Notes that the former owner admits no more and left `load` in flight.
     pub fn handed_over(&mut self, endpoint: entity::EndpointId, load: u64) {
         if let Some(Member::Owned(owned)) = self.members.get_mut(endpoint) {
-            owned.former_until = None;
+            owned.former_owner_expires_at = None;
             owned.contested_until = time::Time::ZERO;
             owned.foreign = load.min(MAX_LOAD);
-            owned.surely_foreign = owned.foreign;
+            owned.foreign_lower_bound = owned.foreign;
         }
     }
 
@@ -114,8 +114,8 @@
         };
         let view = member::View {
             load: owned.load(),
-            taken: now,
-            prompt: false,
+            observed_at: now,
+            pushes_changes: false,
         };
         self.members.insert(endpoint, Member::Other(view));
         owned.load()
@@ -125,23 +125,28 @@
     ///
     /// If this host is taking the endpoint over, that shows that the former owner still admits,
     /// and starts the grace period again.
-    pub fn view(&mut self, endpoint: entity::EndpointId, reading: Reading, now: time::Time) {
-        let taken = now - reading.age;
-        let load = reading.load.min(MAX_LOAD);
+    pub fn update_view(
+        &mut self,
+        endpoint: entity::EndpointId,
+        remote: RemoteLoad,
+        now: time::Time,
+    ) {
+        let observed_at = now - remote.age;
+        let load = remote.load.min(MAX_LOAD);
         match self.members.get_mut(endpoint) {
             Some(Member::Owned(owned)) => {
-                if let Some(until) = &mut owned.former_until {
-                    *until = (*until).max(taken + self.settings.grace);
+                if let Some(until) = &mut owned.former_owner_expires_at {
+                    *until = (*until).max(observed_at + self.settings.grace);
                     owned.foreign = load;
-                    owned.surely_foreign = load;
+                    owned.foreign_lower_bound = load;
                 }
             }
-            Some(Member::Other(view)) if view.taken < taken => {
-                let prompt = reading.prompt.unwrap_or(view.prompt);
+            Some(Member::Other(view)) if view.observed_at < observed_at => {
+                let pushes_changes = remote.pushes_changes.unwrap_or(view.pushes_changes);
                 *view = member::View {
                     load,
-                    taken,
-                    prompt,
+                    observed_at,
+                    pushes_changes,
                 };
             }
             Some(Member::Other(_)) | None => {}
@@ -150,9 +155,9 @@
 
     /// Takes in the load that an owned endpoint reports of itself, at most one report interval
     /// late.
-    pub fn report(&mut self, endpoint: entity::EndpointId, load: u64, now: time::Time) {
+    pub fn apply_report(&mut self, endpoint: entity::EndpointId, load: u64, now: time::Time) {
         if let Some(Member::Owned(owned)) = self.members.get_mut(endpoint) {
-            owned.report(load.min(MAX_LOAD), self.settings.contested, now);
+            owned.apply_report(load.min(MAX_LOAD), self.settings.contested, now);
         }
     }
 
@@ -168,7 +173,7 @@
     where
         I: IntoIterator<Item = entity::EndpointId>,
     {
-        let mut sum = member::Sum::default();
+        let mut sum = member::LoadSum::default();
         for endpoint in endpoints {
             match self.members.get(endpoint) {
                 Some(Member::Owned(owned)) => sum.add_owned(owned, now),
@@ -178,7 +183,9 @@
                 None => {}
             }
         }
-        let margin = self.drain.margin(sum.ages_s, self.owned(), now);
+        let margin = self
+            .completions
+            .staleness_margin(sum.staleness_s, self.owned(), now);
         sum.mean(margin.ceil() as u64)
     }
 
@@ -212,11 +219,14 @@
         let Some(Member::Owned(owned)) = self.members.get(endpoint) else {
             return Err(Refused::NotOwned);
         };
-        if owned.former_until.is_some_and(|until| now < until) {
+        if owned
+            .former_owner_expires_at
+            .is_some_and(|until| now < until)
+        {
             return Err(Refused::TakingOver);
         }
         let fits = if now < owned.contested_until {
-            let reserve = self.drain.large_cost() as u64;
+            let reserve = self.completions.large_cost() as u64;
             fits_in_mean(owned.load(), cost.saturating_add(reserve), mean)
         } else {
             self.fits(owned.load(), cost, mean)
@@ -228,11 +238,11 @@
     #[must_use]
     pub fn fits(&self, load: u64, cost: u64, mean: &Mean) -> bool {
         let members = u128::from(mean.members.max(1));
-        if load <= mean.least || u128::from(load) * members <= u128::from(mean.lowered_sum) {
+        if load <= mean.min_load || u128::from(load) * members <= u128::from(mean.sum_lower_bound) {
             return true;
         }
         let after = u128::from(load) + u128::from(cost);
-        let sum = u128::from(mean.lowered_sum) + u128::from(cost);
+        let sum = u128::from(mean.sum_lower_bound) + u128::from(cost);
         let limit = sum * u128::from(self.settings.multiple.as_hundredths());
         after * members * HUNDREDTHS <= limit
     }
@@ -249,26 +259,26 @@
         now: time::Time,
     ) -> Result<(), Refused> {
         self.check(endpoint, cost, now)?;
-        self.start(endpoint, cost);
+        self.record_start(endpoint, cost);
         Ok(())
     }
 
     /// Counts work that this host still has in flight at an endpoint that it takes over again.
-    pub fn carry(&mut self, endpoint: entity::EndpointId, load: u64) {
+    pub fn add_in_flight(&mut self, endpoint: entity::EndpointId, load: u64) {
         if let Some(Member::Owned(owned)) = self.members.get_mut(endpoint) {
             owned.own = owned.own.saturating_add(load).min(MAX_LOAD);
-            owned.track();
+            owned.update_extremes();
         }
     }
 
     /// Counts the cost of a request that [`Pool::check_against`] admitted, until
     /// [`Pool::complete`]. An endpoint that was being taken over now counts as owned.
-    pub fn start(&mut self, endpoint: entity::EndpointId, cost: u64) {
+    pub fn record_start(&mut self, endpoint: entity::EndpointId, cost: u64) {
         if let Some(Member::Owned(owned)) = self.members.get_mut(endpoint) {
-            owned.former_until = None;
+            owned.former_owner_expires_at = None;
             owned.own = owned.own.saturating_add(cost).min(MAX_LOAD);
-            owned.track();
-            self.drain.admit(cost);
+            owned.update_extremes();
+            self.completions.record_admission(cost);
         }
     }
 
@@ -277,8 +287,8 @@
     pub fn complete(&mut self, endpoint: entity::EndpointId, cost: u64, now: time::Time) {
         if let Some(Member::Owned(owned)) = self.members.get_mut(endpoint) {
             owned.own = owned.own.saturating_sub(cost);
-            owned.track();
-            self.drain.complete(now);
+            owned.update_extremes();
+            self.completions.record_completion(now);
         }
     }
 
@@ -288,7 +298,7 @@
         match self.members.get(endpoint)? {
             Member::Owned(owned) => Some(owned.load()),
             Member::Other(view) => {
-                let fresh = now.since(view.taken) <= self.settings.view_horizon;
+                let fresh = now.since(view.observed_at) <= self.settings.view_horizon;
                 fresh.then_some(view.load)
             }
         }
@@ -309,7 +319,9 @@
     /// Loads of the owned endpoints that others may use as views.
     pub fn owned_loads(&self) -> impl Iterator<Item = (entity::EndpointId, u64)> {
         self.members.iter().filter_map(|(id, member)| match member {
-            Member::Owned(owned) if owned.former_until.is_none() => Some((id, owned.least_load())),
+            Member::Owned(owned) if owned.former_owner_expires_at.is_none() => {
+                Some((id, owned.load_lower_bound()))
+            }
             _ => None,
         })
     }
@@ -329,10 +341,10 @@
             return Some(Duration::ZERO);
         }
         let members = mean.members.max(1) as f64;
-        let limit =
-            (mean.lowered_sum as f64 + cost as f64) / members * self.settings.multiple.as_ratio();
+        let limit = (mean.sum_lower_bound as f64 + cost as f64) / members
+            * self.settings.multiple.as_ratio();
         let excess = (load as f64 + cost as f64 - limit).min(load as f64 - mean.as_ratio());
-        self.drain.time_to_complete(excess, self.owned(), now)
+        self.completions.time_to_complete(excess, self.owned(), now)
     }
 
     fn owned(&self) -> usize {
@@ -346,5 +358,5 @@
 fn fits_in_mean(load: u64, cost: u64, mean: &Mean) -> bool {
     let after = u128::from(load) + u128::from(cost);
     let idle = load == 0 && mean.sum == 0;
-    idle || after * u128::from(mean.members.max(1)) <= u128::from(mean.lowered_sum)
+    idle || after * u128::from(mean.members.max(1)) <= u128::from(mean.sum_lower_bound)
 }
--- a/crates/core/src/routing/report.rs
+++ b/crates/core/src/routing/report.rs
@@ -23,12 +23,12 @@
     /// Host that sends it.
     pub from: entity::HostId,
     /// Whether the host reports every further change at once.
-    pub prompt: bool,
+    pub pushes_changes: bool,
     /// Loads of the endpoints that the host owns.
     pub loads: SmallVec<[Load; 4]>,
     /// Endpoints that the host takes over. The answer tells what the receiver left there.
     pub claims: SmallVec<[entity::EndpointId; 4]>,
     /// What the host has in flight at endpoints that the receiver claims and that it does not
     /// own: it admits nothing more to them.
-    pub left: SmallVec<[Load; 4]>,
+    pub residual: SmallVec<[Load; 4]>,
 }
--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -47,7 +47,7 @@
         from: usize,
         to: usize,
         age_ms: u64,
-        prompt: Option<bool>,
+        pushes_changes: Option<bool>,
     },
     TakeOver {
         host: usize,
@@ -69,14 +69,16 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let host = 0..HOSTS;
     let at = 0..ENDPOINTS;
-    let prompt = prop_oneof![Just(None), Just(Some(false)), Just(Some(true))];
+    let pushes_changes = prop_oneof![Just(None), Just(Some(false)), Just(Some(true))];
     let step = prop_oneof![
         2 => (1_u64..2_000).prop_map(Step::Advance),
         8 => (host.clone(), at.clone(), 1_u64..500)
             .prop_map(|(host, endpoint, cost)| Step::Arrive { host, endpoint, cost }),
         6 => (0_usize..64).prop_map(Step::Complete),
-        4 => (host.clone(), host.clone(), 0_u64..3_000, prompt)
-            .prop_map(|(from, to, age_ms, prompt)| Step::Views { from, to, age_ms, prompt }),
+        4 => (host.clone(), host.clone(), 0_u64..3_000, pushes_changes)
+            .prop_map(|(from, to, age_ms, pushes_changes)| {
+                Step::Views { from, to, age_ms, pushes_changes }
+            }),
         1 => (host.clone(), at.clone())
             .prop_map(|(host, endpoint)| Step::TakeOver { host, endpoint }),
         1 => (host.clone(), at.clone(), proptest::option::of(host))
@@ -182,16 +184,20 @@
         self.pools[ended.host].complete(endpoint(ended.endpoint), ended.cost, self.now);
     }
 
-    fn views(&mut self, from: usize, to: usize, age_ms: u64, prompt: Option<bool>) {
+    fn views(&mut self, from: usize, to: usize, age_ms: u64, pushes_changes: Option<bool>) {
         if from == to {
             return;
         }
         let loads: Vec<_> = self.pools[from].owned_loads().collect();
         for (id, load) in loads {
             let age = Duration::from_millis(age_ms);
-            let reading = pool::Reading { load, age, prompt };
+            let remote = pool::RemoteLoad {
+                load,
+                age,
+                pushes_changes,
+            };
             let taking_over = self.closed_until.contains_key(&(to, id.index()));
-            self.pools[to].view(id, reading, self.now);
+            self.pools[to].update_view(id, remote, self.now);
             let told = self.told.entry((to, id.index())).or_default();
             *told = (*told).max(load);
             if taking_over && self.pools[to].owns(id) {
@@ -238,7 +244,7 @@
     fn report(&mut self, index: usize) {
         let load = self.load(index);
         for host in 0..HOSTS {
-            self.pools[host].report(endpoint(index), load, self.now);
+            self.pools[host].apply_report(endpoint(index), load, self.now);
             let told = self.told.entry((host, index)).or_default();
             *told = (*told).max(load);
         }
@@ -269,8 +275,8 @@
                 from,
                 to,
                 age_ms,
-                prompt,
-            } => self.views(from, to, age_ms, prompt),
+                pushes_changes,
+            } => self.views(from, to, age_ms, pushes_changes),
             Step::TakeOver { host, endpoint } => self.take_over(host, endpoint),
             Step::GiveUp { host, endpoint, to } => self.give_up(host, endpoint, to),
             Step::Report { endpoint } => self.report(endpoint),
@@ -337,12 +343,12 @@
     pool.join(endpoint(1), now);
     pool.take_over(endpoint(0), 0, now);
     pool.handed_over(endpoint(0), 0);
-    let reading = pool::Reading {
+    let remote = pool::RemoteLoad {
         load,
         age: Duration::ZERO,
-        prompt: Some(true),
+        pushes_changes: Some(true),
     };
-    pool.view(endpoint(1), reading, now + Duration::from_millis(1));
+    pool.update_view(endpoint(1), remote, now + Duration::from_millis(1));
     pool
 }
 
@@ -356,13 +362,13 @@
         pool.admit(endpoint(1), 10, start),
         Err(pool::Refused::TakingOver)
     );
-    let reading = pool::Reading {
+    let remote = pool::RemoteLoad {
         load: 100,
         age: Duration::ZERO,
-        prompt: None,
+        pushes_changes: None,
     };
     let heard = start + Duration::from_secs(2);
-    pool.view(endpoint(1), reading, heard);
+    pool.update_view(endpoint(1), remote, heard);
     let first_end = start + grace;
     assert_eq!(
         pool.admit(endpoint(1), 10, first_end),
@@ -384,15 +390,15 @@
     for _ in 0..10 {
         assert_eq!(pool.admit(endpoint(0), 60, now), Ok(()));
     }
-    (0..3).for_each(|_| pool.report(endpoint(0), 600, now));
-    pool.report(endpoint(0), 900, now);
+    (0..3).for_each(|_| pool.apply_report(endpoint(0), 600, now));
+    pool.apply_report(endpoint(0), 900, now);
     assert_eq!(pool.load(endpoint(0), now), Some(900));
     assert_eq!(
         pool.admit(endpoint(0), 100, now),
         Err(pool::Refused::AtBound)
     );
     let later = now + bound::Settings::default().contested + Duration::from_secs(1);
-    pool.report(endpoint(0), 600, later);
+    pool.apply_report(endpoint(0), 600, later);
     assert_eq!(pool.load(endpoint(0), later), Some(600));
 }
 
@@ -406,7 +412,7 @@
     let fresh = pool.mean(now + Duration::from_millis(1));
     let stale = pool.mean(now + Duration::from_secs(5));
     let old = pool.mean(now + Duration::from_secs(11));
-    assert!(stale.lowered_sum < fresh.lowered_sum && fresh.lowered_sum < fresh.sum);
+    assert!(stale.sum_lower_bound < fresh.sum_lower_bound && fresh.sum_lower_bound < fresh.sum);
     assert_eq!((old.members, old.sum), (1, 5_000));
 }
 
@@ -422,7 +428,7 @@
         pool.admit(endpoint(5), 1, now),
         Err(pool::Refused::NotOwned)
     );
-    pool.report(endpoint(0), u64::MAX, now);
+    pool.apply_report(endpoint(0), u64::MAX, now);
     assert_eq!(
         pool.admit(endpoint(0), u64::MAX, now),
         Err(pool::Refused::AtBound)
--- a/crates/core/tests/owner.rs
+++ b/crates/core/tests/owner.rs
@@ -49,12 +49,12 @@
 }
 
 fn view(owner: &mut owner::Owner, now: time::Time, load: u64) {
-    let reading = pool::Reading {
+    let remote = pool::RemoteLoad {
         load,
         age: Duration::ZERO,
-        prompt: Some(true),
+        pushes_changes: Some(true),
     };
-    owner.view(now, endpoint(1), reading);
+    owner.view(now, endpoint(1), remote);
 }
 
 fn dispatched(effects: &owner::Effects) -> usize {
--- a/crates/measure/src/routing/fleet/views.rs
+++ b/crates/measure/src/routing/fleet/views.rs
@@ -31,12 +31,12 @@
         }
         let pool = self.owners[to.index()].pool_mut();
         for (endpoint, load) in loads {
-            let reading = bound::pool::Reading {
+            let reading = bound::pool::RemoteLoad {
                 load: *load,
                 age: LINK_DELAY,
-                prompt,
+                pushes_changes: prompt,
             };
-            pool.view(*endpoint, reading, now);
+            pool.update_view(*endpoint, reading, now);
         }
     }
 
@@ -73,7 +73,7 @@
             let reported = self.reports[endpoint.index()];
             for owner in &mut self.owners {
                 if owner.pool().owns(endpoint) {
-                    owner.pool_mut().report(endpoint, reported, now);
+                    owner.pool_mut().apply_report(endpoint, reported, now);
                 }
             }
             self.reports[endpoint.index()] = self.tally.load(endpoint.index());
--- a/crates/runtime/src/control/loads.rs
+++ b/crates/runtime/src/control/loads.rs
@@ -100,7 +100,7 @@
         let load = |(endpoint, load)| report::Load { endpoint, load };
         report::Report {
             from: self.settings.host.id,
-            prompt: self.prompt,
+            pushes_changes: self.prompt,
             loads: self
                 .owner
                 .loads()
@@ -108,7 +108,7 @@
                 .take(report::MAX_ENTRIES)
                 .collect(),
             claims,
-            left: SmallVec::new(),
+            residual: SmallVec::new(),
         }
     }
 
@@ -155,7 +155,7 @@
         };
         let claims = report.claims.iter().take(report::MAX_ENTRIES);
         report::Report {
-            left: claims.filter(not_owned).map(left).collect(),
+            residual: claims.filter(not_owned).map(left).collect(),
             ..self.report(SmallVec::new())
         }
     }
@@ -163,14 +163,14 @@
     /// Takes in the loads of another host, and what it says of endpoints that this host claims.
     pub(super) fn take_report(&mut self, now: time::Time, report: &report::Report) {
         for load in report.loads.iter().take(report::MAX_ENTRIES) {
-            let reading = pool::Reading {
+            let reading = pool::RemoteLoad {
                 load: load.load,
                 age: REPORT_AGE,
-                prompt: Some(report.prompt),
+                pushes_changes: Some(report.pushes_changes),
             };
             self.owner.view(now, load.endpoint, reading);
         }
-        for left in report.left.iter().take(report::MAX_ENTRIES) {
+        for left in report.residual.iter().take(report::MAX_ENTRIES) {
             if let Some(load) = self
                 .handovers
                 .answered(report.from, left.endpoint, left.load)
--- a/crates/runtime/src/control/offer.rs
+++ b/crates/runtime/src/control/offer.rs
@@ -58,10 +58,10 @@
 
     fn observe(&mut self, now: time::Time, head: &forward::Forward) {
         for view in &head.loads {
-            let reading = pool::Reading {
+            let reading = pool::RemoteLoad {
                 load: view.load,
                 age: Duration::from_millis(view.age_ms.into()),
-                prompt: None,
+                pushes_changes: None,
             };
             self.owner.view(now, view.endpoint, reading);
         }
