--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -12,7 +12,7 @@
 pub mod handover;
 pub mod holders;
 pub mod owner;
-pub mod pace;
+pub mod pacer;
 pub mod recent;
 pub mod rendezvous;
 pub mod report;
--- a/crates/core/tests/cache.rs
+++ b/crates/core/tests/cache.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pistachiochute_core::entity::Entity as _;
-use pistachiochute_core::routing::{cache, pace, spill};
+use pistachiochute_core::routing::{cache, pacer, spill};
 use pistachiochute_core::{entity, request, time, units};
 use rand::seq::SliceRandom as _;
 use rand::{Rng as _, SeedableRng as _};
@@ -241,18 +241,18 @@
 
 #[test]
 fn load_reports_keep_to_their_budget() {
-    let settings = pace::Settings::default();
+    let settings = pacer::Settings::default();
     for peers in [2, 51] {
-        let mut pace = pace::Pace::new(settings);
+        let mut pacer = pacer::ReportPacer::new(settings);
         let mut reports = 0;
         let mut due = None;
         for millis in 0..60_000 {
             let now = time::Time::from_millis(millis);
-            due = due.or_else(|| pace.due(peers, now));
+            due = due.or_else(|| pacer.schedule(peers, now));
             if due.is_some_and(|at| at <= now) {
                 due = None;
                 reports += 1;
-                pace.sent(peers, now);
+                pacer.record_sent(peers, now);
             }
         }
         let bytes = reports * peers as u64 * settings.report_bytes;
@@ -266,18 +266,26 @@
 
 #[test]
 fn a_host_promises_prompt_reports_only_while_its_budget_lasts() {
-    let mut pace = pace::Pace::new(pace::Settings::default());
+    let mut pacer = pacer::ReportPacer::new(pacer::Settings::default());
     let now = time::Time::from_secs(1);
     let mut promised = true;
     let mut sent = 0;
     while promised {
-        assert_eq!(pace.due(2, now), Some(now));
-        promised = pace.sent(2, now);
+        assert_eq!(pacer.schedule(2, now), Some(now));
+        promised = pacer.record_sent(2, now);
         sent += 1;
     }
     assert!(sent > 8);
-    assert_eq!(pace.due(2, now), Some(now));
-    pace.sent(2, now);
-    assert!(pace.refresh(2, now + pace::REFRESH_INTERVAL).is_none());
-    assert!(pace.refresh(2, now + Duration::from_secs(10)).is_some());
+    assert_eq!(pacer.schedule(2, now), Some(now));
+    pacer.record_sent(2, now);
+    assert!(
+        pacer
+            .schedule_refresh(2, now + pacer::REFRESH_INTERVAL)
+            .is_none()
+    );
+    assert!(
+        pacer
+            .schedule_refresh(2, now + Duration::from_secs(10))
+            .is_some()
+    );
 }
--- a/crates/measure/src/routing/fleet/mod.rs
+++ b/crates/measure/src/routing/fleet/mod.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use pistachiochute_core::entity::Entity as _;
-use pistachiochute_core::routing::{bound, cache, owner, pace, spill};
+use pistachiochute_core::routing::{bound, cache, owner, pacer, spill};
 use pistachiochute_core::{entity, time};
 use rand::SeedableRng as _;
 
@@ -91,7 +91,7 @@
     trace: &'a [traces::Arrival],
     world: world::World,
     owners: Vec<owner::Owner>,
-    paces: Vec<pace::Pace>,
+    paces: Vec<pacer::ReportPacer>,
     stores: Vec<store::Store>,
     /// Number of the next cache event of each endpoint.
     cache_seqs: Vec<u64>,
@@ -138,7 +138,7 @@
             deployment,
             trace,
             owners: vec![owner::Owner::new(settings, time::Time::ZERO); deployment.hosts],
-            paces: vec![pace::Pace::new(pace::Settings::default()); deployment.hosts],
+            paces: vec![pacer::ReportPacer::new(pacer::Settings::default()); deployment.hosts],
             stores: vec![store::Store::new(deployment.cache_tokens); count],
             cache_seqs: vec![0; count],
             waiting: BTreeMap::new(),
@@ -172,7 +172,7 @@
             self.at(arrival.at, Event::Arrive(number));
         }
         self.at(time::Time::ZERO + REPORT_INTERVAL, Event::Reports);
-        self.at(time::Time::ZERO + pace::REFRESH_INTERVAL, Event::KeepFresh);
+        self.at(time::Time::ZERO + pacer::REFRESH_INTERVAL, Event::KeepFresh);
         for suspicion in self.faults.suspicions() {
             self.at(suspicion.from, Event::Suspect(suspicion, true));
             self.at(suspicion.until, Event::Suspect(suspicion, false));
--- a/crates/measure/src/routing/fleet/views.rs
+++ b/crates/measure/src/routing/fleet/views.rs
@@ -1,7 +1,7 @@
 //! Views of the loads of endpoints, as hosts send them to each other.
 
 use pistachiochute_core::entity::Entity as _;
-use pistachiochute_core::routing::{bound, pace};
+use pistachiochute_core::routing::{bound, pacer};
 use pistachiochute_core::{entity, time};
 
 use super::{Event, Fleet, LINK_DELAY, REPORT_INTERVAL};
@@ -43,7 +43,7 @@
     /// Tells the hosts of the domain of a change in the loads, as often as the budget allows.
     pub(super) fn loads_changed(&mut self, host: entity::HostId, now: time::Time) {
         let peers = self.world.peers(host).len();
-        if let Some(at) = self.paces[host.index()].due(peers, now) {
+        if let Some(at) = self.paces[host.index()].schedule(peers, now) {
             self.at(at + LINK_DELAY, Event::Views(host));
         }
     }
@@ -51,16 +51,16 @@
     pub(super) fn keep_fresh(&mut self, now: time::Time) {
         for host in self.world.hosts() {
             let peers = self.world.peers(host).len();
-            if let Some(at) = self.paces[host.index()].refresh(peers, now) {
+            if let Some(at) = self.paces[host.index()].schedule_refresh(peers, now) {
                 self.at(at + LINK_DELAY, Event::Views(host));
             }
         }
-        self.at(now + pace::REFRESH_INTERVAL, Event::KeepFresh);
+        self.at(now + pacer::REFRESH_INTERVAL, Event::KeepFresh);
     }
 
     pub(super) fn send_views(&mut self, host: entity::HostId, now: time::Time) {
         let peers = self.world.peers(host);
-        let prompt = self.paces[host.index()].sent(peers.len(), now);
+        let prompt = self.paces[host.index()].record_sent(peers.len(), now);
         let loads: Vec<_> = self.owners[host.index()].pool().owned_loads().collect();
         for peer in peers {
             self.take_views(host, peer, &loads, Some(prompt), now);
--- a/crates/runtime/src/control/loads.rs
+++ b/crates/runtime/src/control/loads.rs
@@ -115,7 +115,7 @@
     /// Tells the other hosts of the domain of changed loads, as often as the budget allows.
     pub(super) fn loads_changed(&mut self, now: time::Time) {
         let peers = self.peers();
-        if let Some(at) = self.pace.due(peers.len(), now) {
+        if let Some(at) = self.pace.schedule(peers.len(), now) {
             self.report_at = Some(at);
         }
         self.send_report(now, &peers);
@@ -124,7 +124,7 @@
     /// Does the timed work on loads.
     pub(super) fn tick_loads(&mut self, now: time::Time) {
         let peers = self.peers();
-        if let Some(at) = self.pace.refresh(peers.len(), now) {
+        if let Some(at) = self.pace.schedule_refresh(peers.len(), now) {
             self.report_at = Some(at);
         }
         self.send_report(now, &peers);
@@ -138,7 +138,7 @@
             return;
         }
         self.report_at = None;
-        self.prompt = self.pace.sent(peers.len(), now);
+        self.prompt = self.pace.record_sent(peers.len(), now);
         let message = control::Message::Loads(self.report(SmallVec::new()));
         for peer in peers {
             self.send(*peer, &message);
--- a/crates/runtime/src/control/state.rs
+++ b/crates/runtime/src/control/state.rs
@@ -24,7 +24,7 @@
     pub(super) health: health::Health,
     /// Endpoints that this host takes over.
     pub(super) handovers: routing::handover::Handovers,
-    pub(super) pace: routing::pace::Pace,
+    pub(super) pace: routing::pacer::ReportPacer,
     /// When the next load report is sent, if one is due.
     pub(super) report_at: Option<time::Time>,
     /// Whether the last report promised to report every further change at once.
@@ -107,7 +107,7 @@
             owner: owner::Owner::new(cfg),
             health: health::Health::new(health::Settings::default(), clock::now()),
             handovers: routing::handover::Handovers::default(),
-            pace: routing::pace::Pace::new(routing::pace::Settings::default()),
+            pace: routing::pacer::ReportPacer::new(routing::pacer::Settings::default()),
             report_at: None,
             prompt: false,
             offers: HashMap::new(),
