--- a/crates/core/src/routing/cache.rs
+++ b/crates/core/src/routing/cache.rs
@@ -13,11 +13,11 @@
 
 use std::collections::BTreeMap;
 
-use crate::routing::recent;
+use crate::routing::lru;
 use crate::{request, units};
 
 /// Most events that wait for an earlier one.
-pub const MAX_EARLY_EVENTS: usize = 64;
+pub const MAX_BUFFERED_EVENTS: usize = 64;
 
 /// Settings of the cache views.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -64,23 +64,23 @@
 
 /// What the view needs after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum FollowUp {
     /// Nothing.
-    Nothing,
+    None,
     /// A listing of the cache, because an event was lost.
-    Listing,
+    FetchSnapshot,
 }
 
 /// What one endpoint's prefix cache probably holds.
 #[derive(Clone, Debug)]
 pub struct View {
     /// Number of the next event, or `None` before the first event or listing.
-    next: Option<u64>,
-    /// Events that arrived before an earlier one. Invariant: at most [`MAX_EARLY_EVENTS`], all
+    next_seq: Option<u64>,
+    /// Events that arrived before an earlier one. Invariant: at most [`MAX_BUFFERED_EVENTS`], all
     /// after `next`.
-    early: BTreeMap<u64, Change>,
+    buffered: BTreeMap<u64, Change>,
     /// Length of the prefix of each chat.
-    held: recent::Recent<request::ChatKey, units::Tokens>,
+    prefixes: lru::LruMap<request::ChatKey, units::Tokens>,
     gaps: u64,
 }
 
@@ -89,72 +89,72 @@
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
-            next: None,
-            early: BTreeMap::new(),
-            held: recent::Recent::new(settings.entries),
+            next_seq: None,
+            buffered: BTreeMap::new(),
+            prefixes: lru::LruMap::new(settings.entries),
             gaps: 0,
         }
     }
 
     /// Folds an event in. An event that was already applied is ignored.
-    pub fn fold(&mut self, event: Event) -> Need {
-        let next = *self.next.get_or_insert(event.seq);
+    pub fn apply_event(&mut self, event: Event) -> FollowUp {
+        let next = *self.next_seq.get_or_insert(event.seq);
         if event.seq < next {
-            return Need::Nothing;
+            return FollowUp::None;
         }
-        self.early.insert(event.seq, event.change);
+        self.buffered.insert(event.seq, event.change);
         self.apply_in_order(next);
-        if self.early.len() <= MAX_EARLY_EVENTS {
-            return Need::Nothing;
+        if self.buffered.len() <= MAX_BUFFERED_EVENTS {
+            return FollowUp::None;
         }
         self.skip_gap();
-        Need::Listing
+        FollowUp::FetchSnapshot
     }
 
     /// Takes in a listing of the cache that shows every event before `next`.
-    pub fn load<I>(&mut self, next: u64, entries: I)
+    pub fn load_snapshot<I>(&mut self, next: u64, entries: I)
     where
         I: IntoIterator<Item = (request::ChatKey, units::Tokens)>,
     {
-        if self.next.is_some_and(|known| next < known) {
+        if self.next_seq.is_some_and(|known| next < known) {
             return;
         }
-        self.held.clear();
+        self.prefixes.clear();
         for (chat, tokens) in entries {
-            self.held.insert(chat, tokens);
+            self.prefixes.insert(chat, tokens);
         }
-        self.early = self.early.split_off(&next);
-        self.next = Some(next);
+        self.buffered = self.buffered.split_off(&next);
+        self.next_seq = Some(next);
         self.apply_in_order(next);
     }
 
     /// Notes that the owner sent a request of the chat to the endpoint.
-    pub fn sent(&mut self, chat: request::ChatKey, tokens: units::Tokens) {
+    pub fn record_sent(&mut self, chat: request::ChatKey, tokens: units::Tokens) {
         let known = self.tokens(chat);
-        self.held.insert(chat, known.max(tokens));
+        self.prefixes.insert(chat, known.max(tokens));
     }
 
     /// Length of the chat's prefix that the endpoint probably holds.
     #[must_use]
     pub fn tokens(&self, chat: request::ChatKey) -> units::Tokens {
-        self.held.get(&chat).copied().unwrap_or_default()
+        self.prefixes.get(&chat).copied().unwrap_or_default()
     }
 
     /// Chats that the endpoint probably holds, with the length of each prefix.
     pub fn iter(&self) -> impl Iterator<Item = (request::ChatKey, units::Tokens)> {
-        self.held.iter().map(|(chat, tokens)| (*chat, *tokens))
+        self.prefixes.iter().map(|(chat, tokens)| (*chat, *tokens))
     }
 
     /// Number of chats in the view.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.prefixes.len()
     }
 
     /// Whether the view holds no chat.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.prefixes.is_empty()
     }
 
     /// Gaps in the events that a listing had to fill.
@@ -164,17 +164,17 @@
     }
 
     fn apply_in_order(&mut self, mut next: u64) {
-        while let Some(change) = self.early.remove(&next) {
+        while let Some(change) = self.buffered.remove(&next) {
             self.apply(change);
             next += 1;
         }
-        self.next = Some(next);
+        self.next_seq = Some(next);
     }
 
     /// Goes on with the first event after the lost ones.
     fn skip_gap(&mut self) {
         self.gaps += 1;
-        if let Some((&seq, _)) = self.early.first_key_value() {
+        if let Some((&seq, _)) = self.buffered.first_key_value() {
             self.apply_in_order(seq);
         }
     }
@@ -182,12 +182,12 @@
     fn apply(&mut self, change: Change) {
         match change {
             Change::Stored { chat, tokens } => {
-                self.held.insert(chat, tokens);
+                self.prefixes.insert(chat, tokens);
             }
             Change::Evicted { chat } => {
-                self.held.remove(&chat);
+                self.prefixes.remove(&chat);
             }
-            Change::Cleared => self.held.clear(),
+            Change::Cleared => self.prefixes.clear(),
         }
     }
 }
--- a/crates/core/src/routing/holders.rs
+++ b/crates/core/src/routing/chat_locations.rs
@@ -2,10 +2,10 @@
 //!
 //! The owner of a chat's first candidate decides where the chat goes, so it is the one host that
 //! has to know where the prefix is. An owner that admits a chat whose first candidate lies with
-//! another host tells that host with a notice. The memory is bounded: the chats used longest ago
+//! another host tells that host with a location. The memory is bounded: the chats used longest ago
 //! are forgotten, and then read again.
 
-use crate::routing::recent;
+use crate::routing::lru;
 use crate::{entity, request, units};
 
 /// Most chats that one host remembers elsewhere, about 100 bytes each.
@@ -13,7 +13,7 @@
 
 /// The endpoint of a chat that is not at its first candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Notice {
+pub struct ChatLocation {
     /// The chat.
     pub chat: request::ChatKey,
     /// Endpoint that holds its prefix.
@@ -24,38 +24,38 @@
 
 /// Chats whose prefix is elsewhere than at their first candidate.
 #[derive(Clone, Debug)]
-pub struct Holders {
-    chats: recent::Recent<request::ChatKey, Notice>,
+pub struct ChatLocations {
+    chats: lru::LruMap<request::ChatKey, ChatLocation>,
 }
 
-impl Default for Holders {
+impl Default for ChatLocations {
     fn default() -> Self {
         Self::new(MAX_CHATS)
     }
 }
 
-impl Holders {
-    /// Makes a memory of at most `bound` chats.
+impl ChatLocations {
+    /// Makes a memory of at most `capacity` chats.
     #[must_use]
-    pub fn new(bound: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         Self {
-            chats: recent::Recent::new(bound),
+            chats: lru::LruMap::new(capacity),
         }
     }
 
     /// Takes in where a chat went.
-    pub fn note(&mut self, notice: Notice) {
-        self.chats.insert(notice.chat, notice);
+    pub fn record(&mut self, location: ChatLocation) {
+        self.chats.insert(location.chat, location);
     }
 
     /// Forgets a chat that is back at its first candidate, or whose prefix is gone.
-    pub fn forget(&mut self, chat: request::ChatKey) {
+    pub fn remove(&mut self, chat: request::ChatKey) {
         self.chats.remove(&chat);
     }
 
     /// Where the chat's prefix is, if it is elsewhere.
     #[must_use]
-    pub fn get(&self, chat: request::ChatKey) -> Option<&Notice> {
+    pub fn get(&self, chat: request::ChatKey) -> Option<&ChatLocation> {
         self.chats.get(&chat)
     }
 
--- a/crates/core/src/routing/recent.rs
+++ b/crates/core/src/routing/lru.rs
@@ -1,41 +1,41 @@
-//! Map with a bound that forgets the entries used longest ago.
+//! Map with a capacity that forgets the entries used longest ago.
 
 use std::collections::BTreeMap;
 
 /// Map that holds at most a set number of entries.
 #[derive(Clone, Debug)]
-pub struct Recent<K, V> {
-    bound: usize,
-    /// Value and turn of the last use. Invariant: at most `bound` entries.
+pub struct LruMap<K, V> {
+    capacity: usize,
+    /// Value and tick of the last use. Invariant: at most `capacity` entries.
     entries: BTreeMap<K, (V, u64)>,
     /// Keys in the order of their last use. Invariant: one entry for each of `entries`.
-    by_turn: BTreeMap<u64, K>,
-    turn: u64,
+    by_last_use: BTreeMap<u64, K>,
+    tick: u64,
 }
 
-impl<K, V> Recent<K, V>
+impl<K, V> LruMap<K, V>
 where
     K: Copy + Ord,
 {
-    /// Makes an empty map that holds at most `bound` entries.
+    /// Makes an empty map that holds at most `capacity` entries.
     #[must_use]
-    pub fn new(bound: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         Self {
-            bound,
+            capacity,
             entries: BTreeMap::new(),
-            by_turn: BTreeMap::new(),
-            turn: 0,
+            by_last_use: BTreeMap::new(),
+            tick: 0,
         }
     }
 
     /// Sets an entry, as the one used last. Returns the entry that was forgotten for it.
     pub fn insert(&mut self, key: K, value: V) -> Option<(K, V)> {
         self.remove(&key);
-        self.turn += 1;
-        self.entries.insert(key, (value, self.turn));
-        self.by_turn.insert(self.turn, key);
-        if self.entries.len() > self.bound {
-            self.pop_oldest()
+        self.tick += 1;
+        self.entries.insert(key, (value, self.tick));
+        self.by_last_use.insert(self.tick, key);
+        if self.entries.len() > self.capacity {
+            self.pop_lru()
         } else {
             None
         }
@@ -49,14 +49,14 @@
 
     /// Removes an entry.
     pub fn remove(&mut self, key: &K) -> Option<V> {
-        let (value, turn) = self.entries.remove(key)?;
-        self.by_turn.remove(&turn);
+        let (value, tick) = self.entries.remove(key)?;
+        self.by_last_use.remove(&tick);
         Some(value)
     }
 
     /// Removes the entry used longest ago.
-    pub fn pop_oldest(&mut self) -> Option<(K, V)> {
-        let (_, key) = self.by_turn.pop_first()?;
+    pub fn pop_lru(&mut self) -> Option<(K, V)> {
+        let (_, key) = self.by_last_use.pop_first()?;
         let (value, _) = self.entries.remove(&key)?;
         Some((key, value))
     }
@@ -64,7 +64,7 @@
     /// Removes every entry.
     pub fn clear(&mut self) {
         self.entries.clear();
-        self.by_turn.clear();
+        self.by_last_use.clear();
     }
 
     /// Keys in order.
--- a/crates/core/src/routing/owner.rs
+++ b/crates/core/src/routing/router.rs
@@ -1,15 +1,15 @@
 //! State of one host for the endpoints of one target in its failure domain.
 //!
 //! A request first reaches the owner of the chat's first candidate. That owner knows where the
-//! chat's prefix is, so it [decides](Owner::decide) the way of the request. The owner of the
-//! endpoint on that way [admits](Owner::admit) the request or refuses it before anything is sent.
+//! chat's prefix is, so it [decides](TargetRouter::decide) the way of the request. The owner of the
+//! endpoint on that way [admits](TargetRouter::admit) the request or refuses it before anything is sent.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use smallvec::SmallVec;
 
-use crate::routing::{bound, cache, candidates, holders, spill};
+use crate::routing::{bound, cache, candidates, chat_locations, spill};
 use crate::{entity, map, request, time, units};
 
 /// Settings of routing.
@@ -26,7 +26,7 @@
 
 /// What the choice needs to know of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ask<'a> {
+pub struct RouteRequest<'a> {
     /// Chat of the request, if it has one.
     pub chat: Option<request::ChatKey>,
     /// Tokens of the prompt.
@@ -43,16 +43,16 @@
 
 /// State of one host for the endpoints of one target in its domain.
 #[derive(Clone, Debug)]
-pub struct Owner {
+pub struct TargetRouter {
     settings: Settings,
     pool: bound::pool::Pool,
     /// Views of the caches of the owned endpoints.
     caches: map::EntityMap<entity::EndpointId, cache::View>,
-    holders: holders::Holders,
+    chat_locations: chat_locations::ChatLocations,
     chooser: spill::Chooser,
 }
 
-impl Owner {
+impl TargetRouter {
     /// Makes the state of a host that owns nothing yet.
     #[must_use]
     pub fn new(settings: Settings, now: time::Time) -> Self {
@@ -60,7 +60,7 @@
             settings,
             pool: bound::pool::Pool::new(settings.bound),
             caches: map::EntityMap::new(),
-            holders: holders::Holders::default(),
+            chat_locations: chat_locations::ChatLocations::default(),
             chooser: spill::Chooser::new(settings.spill, now),
         }
     }
@@ -104,80 +104,90 @@
     }
 
     /// Folds a cache event of an owned endpoint in.
-    pub fn cache_event(
+    pub fn apply_cache_event(
         &mut self,
         endpoint: entity::EndpointId,
         event: cache::Event,
-    ) -> cache::Need {
+    ) -> cache::FollowUp {
         match self.caches.get_mut(endpoint) {
-            Some(view) => view.fold(event),
-            None => cache::Need::Nothing,
+            Some(view) => view.apply_event(event),
+            None => cache::FollowUp::None,
         }
     }
 
     /// Takes in a listing of an owned endpoint's cache that shows every event before `next`.
-    pub fn cache_listing<I>(&mut self, endpoint: entity::EndpointId, next: u64, entries: I)
+    pub fn load_cache_snapshot<I>(&mut self, endpoint: entity::EndpointId, next: u64, entries: I)
     where
         I: IntoIterator<Item = (request::ChatKey, units::Tokens)>,
     {
         if let Some(view) = self.caches.get_mut(endpoint) {
-            view.load(next, entries);
+            view.load_snapshot(next, entries);
         }
     }
 
     /// Takes in where a chat went whose first candidate this host owns.
-    pub fn note(&mut self, notice: holders::Notice) {
-        self.holders.note(notice);
+    pub fn record_location(&mut self, location: chat_locations::ChatLocation) {
+        self.chat_locations.record(location);
     }
 
     /// Forgets that a chat is elsewhere than at its first candidate.
-    pub fn forget(&mut self, chat: request::ChatKey) {
-        self.holders.forget(chat);
+    pub fn remove_location(&mut self, chat: request::ChatKey) {
+        self.chat_locations.remove(chat);
     }
 
     /// Chooses the way of a request, or `None` if every candidate is at its bound and no wait is
     /// worth it.
-    pub fn decide(&mut self, ask: &Ask<'_>, now: time::Time) -> Option<spill::Way> {
+    pub fn decide(
+        &mut self,
+        request: &RouteRequest<'_>,
+        now: time::Time,
+    ) -> Option<spill::Decision> {
         let mean = self.pool.mean(now);
-        let notice = ask.chat.and_then(|chat| self.holders.get(chat)).copied();
-        let mut ids: SmallVec<[entity::EndpointId; spill::MAX_OPTIONS]> = ask
+        let location = request
+            .chat
+            .and_then(|chat| self.chat_locations.get(chat))
+            .copied();
+        let mut ids: SmallVec<[entity::EndpointId; spill::MAX_OPTIONS]> = request
             .candidates
             .iter()
             .copied()
             .take(candidates::MAX_CANDIDATES)
             .collect();
-        if let Some(notice) = notice
-            && !ids.contains(&notice.endpoint)
+        if let Some(location) = location
+            && !ids.contains(&location.endpoint)
         {
             ids.truncate(spill::MAX_OPTIONS - 1);
-            ids.push(notice.endpoint);
+            ids.push(location.endpoint);
         }
-        let options: SmallVec<[spill::Choice; spill::MAX_OPTIONS]> = ids
+        let options: SmallVec<[spill::EndpointOption; spill::MAX_OPTIONS]> = ids
             .iter()
-            .map(|id| self.option(*id, ask, notice.as_ref(), &mean, now))
+            .map(|id| self.option(*id, request, location.as_ref(), &mean, now))
             .collect();
-        self.chooser.choose(ask.prompt, ask.cost, &options, now)
+        self.chooser
+            .choose(request.prompt, request.cost, &options, now)
     }
 
     fn option(
         &self,
         endpoint: entity::EndpointId,
-        ask: &Ask<'_>,
-        notice: Option<&holders::Notice>,
+        request: &RouteRequest<'_>,
+        location: Option<&chat_locations::ChatLocation>,
         mean: &bound::pool::Mean,
         now: time::Time,
-    ) -> spill::Choice {
+    ) -> spill::EndpointOption {
         let load = self.pool.load(endpoint, now);
-        let listed = ask.candidates.contains(&endpoint);
-        let open = listed && !ask.refused.contains(&endpoint);
+        let listed = request.candidates.contains(&endpoint);
+        let open = listed && !request.refused.contains(&endpoint);
         let wait = if open {
-            self.wait(endpoint, ask, load, mean, now)
+            self.wait(endpoint, request, load, mean, now)
         } else {
             None
         };
-        spill::Choice {
+        spill::EndpointOption {
             endpoint,
-            held: self.held(endpoint, ask.chat, notice).min(ask.prompt),
+            held: self
+                .held(endpoint, request.chat, location)
+                .min(request.prompt),
             load,
             mean: mean.as_ratio(),
             remote: !self.pool.contains(endpoint),
@@ -188,42 +198,42 @@
     fn wait(
         &self,
         endpoint: entity::EndpointId,
-        ask: &Ask<'_>,
+        request: &RouteRequest<'_>,
         load: Option<u64>,
         mean: &bound::pool::Mean,
         now: time::Time,
     ) -> Option<Duration> {
-        match self.pool.check(endpoint, ask.cost, now) {
+        match self.pool.check(endpoint, request.cost, now) {
             Ok(()) => return Some(Duration::ZERO),
             Err(bound::pool::Refused::TakingOver) => return None,
             Err(bound::pool::Refused::NotOwned | bound::pool::Refused::AtBound) => {}
         }
         let owned = self.pool.owns(endpoint);
-        if !owned && load.is_none_or(|load| self.pool.fits(load, ask.cost, mean)) {
+        if !owned && load.is_none_or(|load| self.pool.fits(load, request.cost, mean)) {
             return Some(Duration::ZERO);
         }
-        if !ask.may_wait {
+        if !request.may_wait {
             return None;
         }
-        self.pool.expected_wait(endpoint, ask.cost, mean, now)
+        self.pool.expected_wait(endpoint, request.cost, mean, now)
     }
 
     fn held(
         &self,
         endpoint: entity::EndpointId,
         chat: Option<request::ChatKey>,
-        notice: Option<&holders::Notice>,
+        location: Option<&chat_locations::ChatLocation>,
     ) -> units::Tokens {
         let Some(chat) = chat else {
             return units::Tokens::ZERO;
         };
-        let noticed = notice.filter(|notice| notice.endpoint == endpoint);
-        let noticed = noticed.map_or(units::Tokens::ZERO, |notice| notice.tokens);
+        let noticed = location.filter(|location| location.endpoint == endpoint);
+        let noticed = noticed.map_or(units::Tokens::ZERO, |location| location.tokens);
         let viewed = self.caches.get(endpoint).map(|view| view.tokens(chat));
         viewed.unwrap_or(noticed)
     }
 
-    /// Admits a request to an owned endpoint and counts its cost until [`Owner::complete`].
+    /// Admits a request to an owned endpoint and counts its cost until [`TargetRouter::complete`].
     /// `tokens` is the length of the chat after the request.
     ///
     /// # Errors
@@ -239,7 +249,7 @@
     ) -> Result<(), bound::pool::Refused> {
         self.pool.admit(endpoint, cost, now)?;
         if let (Some(chat), Some(view)) = (chat, self.caches.get_mut(endpoint)) {
-            view.sent(chat, tokens);
+            view.record_sent(chat, tokens);
         }
         Ok(())
     }
@@ -253,33 +263,34 @@
     /// endpoint, by the owner that has to know.
     ///
     /// Called after the candidates changed: an endpoint joined, left or is leaving. At most
-    /// `bound` notices, those of the lowest chat keys.
+    /// `bound` locations, those of the lowest chat keys.
     #[must_use]
     pub fn moved_chats<F>(
         &self,
         endpoint: entity::EndpointId,
         bound: usize,
         first_owner: F,
-    ) -> BTreeMap<entity::HostId, Vec<holders::Notice>>
+    ) -> BTreeMap<entity::HostId, Vec<chat_locations::ChatLocation>>
     where
         F: Fn(request::ChatKey) -> Option<(entity::EndpointId, entity::HostId)>,
     {
-        let mut notices: BTreeMap<entity::HostId, Vec<holders::Notice>> = BTreeMap::new();
+        let mut locations: BTreeMap<entity::HostId, Vec<chat_locations::ChatLocation>> =
+            BTreeMap::new();
         let Some(view) = self.caches.get(endpoint) else {
-            return notices;
+            return locations;
         };
         let moved = view.iter().filter_map(|(chat, tokens)| {
             let (first, owner) = first_owner(chat)?;
-            let notice = holders::Notice {
+            let location = chat_locations::ChatLocation {
                 chat,
                 endpoint,
                 tokens,
             };
-            (first != endpoint).then_some((owner, notice))
+            (first != endpoint).then_some((owner, location))
         });
-        for (owner, notice) in moved.take(bound) {
-            notices.entry(owner).or_default().push(notice);
+        for (owner, location) in moved.take(bound) {
+            locations.entry(owner).or_default().push(location);
         }
-        notices
+        locations
     }
 }
--- a/crates/core/src/routing/spill.rs
+++ b/crates/core/src/routing/spill.rs
@@ -1,7 +1,7 @@
 //! Choice between the endpoint that holds a chat's prefix and the others.
 //!
-//! There are three ways when the holder is at its bound: wait for it, spill to another endpoint
-//! and read the prefix again, or spill and import the KV cache from the holder. Each way has a
+//! There are three decisions when the holder is at its bound: wait for it, spill to another endpoint
+//! and read the prefix again, or spill and import the KV cache from the holder. Each decision has a
 //! cost in seconds, and the cheapest is taken:
 //!
 //! - the expected wait;
@@ -42,7 +42,7 @@
     pub cross_bytes_per_s: u64,
     /// Factor on the time of an import between domains, for the price of the link.
     pub cross_price: u32,
-    /// Bytes a second that imports between domains may use, averaged over [`BUDGET_SPAN`].
+    /// Bytes a second that imports between domains may use, averaged over [`BUDGET_WINDOW`].
     pub cross_budget_bytes_per_s: u64,
     /// Shortest prefix that is worth an import.
     pub min_import: units::Tokens,
@@ -65,11 +65,11 @@
 }
 
 /// Time over which the budget of imports between domains is averaged.
-pub const BUDGET_SPAN: Duration = Duration::from_secs(10);
+pub const BUDGET_WINDOW: Duration = Duration::from_secs(10);
 
 /// An endpoint that a request may go to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Choice {
+pub struct EndpointOption {
     /// The endpoint.
     pub endpoint: entity::EndpointId,
     /// Prefix of the chat that the endpoint probably holds.
@@ -87,7 +87,7 @@
 
 /// How a request goes to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Decision {
     /// At once; a prefix that the endpoint does not hold is read again.
     Send {
         /// The endpoint.
@@ -111,7 +111,7 @@
     },
 }
 
-impl Way {
+impl Decision {
     /// Endpoint that the request goes to.
     #[must_use]
     pub const fn endpoint(&self) -> entity::EndpointId {
@@ -122,32 +122,32 @@
     }
 }
 
-/// Weighs the ways of a request.
+/// Weighs the decisions of a request.
 #[derive(Clone, Debug)]
 pub struct Chooser {
     settings: Settings,
-    /// Bytes that imports between domains may use now. Invariant: at most one [`BUDGET_SPAN`] of
+    /// Bytes that imports between domains may use now. Invariant: at most one [`BUDGET_WINDOW`] of
     /// the budget.
-    cross_left: f64,
-    refilled: time::Time,
+    cross_budget_left: f64,
+    refilled_at: time::Time,
 }
 
-/// A way and its cost in seconds.
-type Priced = (f64, Way);
+/// A decision and its cost in seconds.
+type CostedDecision = (f64, Decision);
 
 impl Chooser {
     /// Makes a chooser with a full budget.
     #[must_use]
     pub fn new(settings: Settings, now: time::Time) -> Self {
-        let cross_left = full_budget(&settings);
+        let cross_budget_left = full_budget(&settings);
         Self {
             settings,
-            cross_left,
-            refilled: now,
+            cross_budget_left,
+            refilled_at: now,
         }
     }
 
-    /// Takes the cheapest way of a request with a prompt of `prompt` tokens and a work of `cost`,
+    /// Takes the cheapest decision of a request with a prompt of `prompt` tokens and a work of `cost`,
     /// or `None` if no endpoint admits it and none is worth the wait.
     ///
     /// `options` are the candidates, best first, and any other endpoint that holds the prefix.
@@ -155,58 +155,58 @@
         &mut self,
         prompt: units::Tokens,
         cost: u64,
-        options: &[Choice],
+        options: &[EndpointOption],
         now: time::Time,
-    ) -> Option<Way> {
+    ) -> Option<Decision> {
         self.refill(now);
-        let way = self
-            .ways(prompt, cost, options)
+        let decision = self
+            .decisions(prompt, cost, options)
             .into_iter()
             .min_by(|a, b| a.0.total_cmp(&b.0))
-            .map(|(_, way)| way)?;
-        self.spend(&way, options);
-        Some(way)
+            .map(|(_, decision)| decision)?;
+        self.spend(&decision, options);
+        Some(decision)
     }
 
-    fn ways(
+    fn decisions(
         &self,
         prompt: units::Tokens,
         cost: u64,
-        options: &[Choice],
-    ) -> SmallVec<[Priced; 2 * MAX_OPTIONS]> {
-        let mut ways = SmallVec::new();
+        options: &[EndpointOption],
+    ) -> SmallVec<[CostedDecision; 2 * MAX_OPTIONS]> {
+        let mut decisions = SmallVec::new();
         let holder = options.iter().max_by_key(|option| option.held);
         let new_chat = holder.is_none_or(|holder| holder.held == units::Tokens::ZERO);
         for (rank, option) in options.iter().take(MAX_OPTIONS).enumerate() {
             let added = prompt.saturating_sub(option.held);
-            let place = self.place_cost(option, cost, new_chat)
+            let base = self.endpoint_cost(option, cost, new_chat)
                 + RANK_COST_S * rank as f64
                 + MEMORY_WEIGHT * self.read_seconds(added);
             let read = self.read_seconds(added);
             let endpoint = option.endpoint;
             match option.wait {
                 Some(Duration::ZERO) => {
-                    ways.push((place + read, Way::Send { endpoint }));
-                    ways.extend(holder.and_then(|h| self.import(prompt, option, h, place)));
+                    decisions.push((base + read, Decision::Send { endpoint }));
+                    decisions.extend(holder.and_then(|h| self.import(prompt, option, h, base)));
                 }
                 Some(wait) if option.held.0 > 0 && wait <= self.settings.max_wait => {
                     let at_most = self.settings.max_wait;
-                    let seconds = WAIT_WEIGHT * wait.as_secs_f64() + place + read;
-                    ways.push((seconds, Way::Wait { endpoint, at_most }));
+                    let seconds = WAIT_WEIGHT * wait.as_secs_f64() + base + read;
+                    decisions.push((seconds, Decision::Wait { endpoint, at_most }));
                 }
                 Some(_) | None => {}
             }
         }
-        ways
+        decisions
     }
 
     fn import(
         &self,
         prompt: units::Tokens,
-        option: &Choice,
-        holder: &Choice,
-        place: f64,
-    ) -> Option<Priced> {
+        option: &EndpointOption,
+        holder: &EndpointOption,
+        base: f64,
+    ) -> Option<CostedDecision> {
         let tokens = holder.held.min(prompt).saturating_sub(option.held);
         if tokens < self.settings.min_import {
             return None;
@@ -214,12 +214,12 @@
         let bytes = units::ByteSize(tokens.0.saturating_mul(self.settings.kv_bytes_per_token));
         let seconds = self.link_seconds(bytes, option.remote == holder.remote)?;
         let rest = self.read_seconds(prompt.saturating_sub(option.held + tokens));
-        let way = Way::Import {
+        let decision = Decision::Import {
             endpoint: option.endpoint,
             from: holder.endpoint,
             bytes,
         };
-        Some((place + seconds + rest, way))
+        Some((base + seconds + rest, decision))
     }
 
     /// Time of an import, or `None` if it exceeds the budget between domains.
@@ -229,11 +229,11 @@
             return Some(bytes / self.settings.domain_bytes_per_s as f64);
         }
         let seconds = bytes / self.settings.cross_bytes_per_s as f64;
-        (bytes <= self.cross_left).then(|| seconds * f64::from(self.settings.cross_price))
+        (bytes <= self.cross_budget_left).then(|| seconds * f64::from(self.settings.cross_price))
     }
 
     /// Cost of the endpoint's load after the admission, and of its distance.
-    fn place_cost(&self, option: &Choice, cost: u64, new_chat: bool) -> f64 {
+    fn endpoint_cost(&self, option: &EndpointOption, cost: u64, new_chat: bool) -> f64 {
         let distance = if option.remote { REMOTE_COST_S } else { 0.0 };
         let after = option.load.map_or(option.mean, |load| load as f64) + cost as f64;
         let over_mean = after / (option.mean + cost as f64).max(1.0);
@@ -257,24 +257,24 @@
     }
 
     fn refill(&mut self, now: time::Time) {
-        let span = now.since(self.refilled).as_secs_f64();
+        let span = now.since(self.refilled_at).as_secs_f64();
         let earned = span * self.settings.cross_budget_bytes_per_s as f64;
-        self.cross_left = (self.cross_left + earned).min(full_budget(&self.settings));
-        self.refilled = now;
+        self.cross_budget_left = (self.cross_budget_left + earned).min(full_budget(&self.settings));
+        self.refilled_at = now;
     }
 
-    fn spend(&mut self, way: &Way, options: &[Choice]) {
-        let Way::Import {
+    fn spend(&mut self, decision: &Decision, options: &[EndpointOption]) {
+        let Decision::Import {
             endpoint,
             from,
             bytes,
-        } = way
+        } = decision
         else {
             return;
         };
         let remote = |id| options.iter().find(|o| o.endpoint == id).map(|o| o.remote);
         if remote(*endpoint) != remote(*from) {
-            self.cross_left -= bytes.0 as f64;
+            self.cross_budget_left -= bytes.0 as f64;
         }
     }
 }
@@ -304,5 +304,5 @@
 const WAIT_WEIGHT: f64 = 1.5;
 
 fn full_budget(settings: &Settings) -> f64 {
-    settings.cross_budget_bytes_per_s as f64 * BUDGET_SPAN.as_secs_f64()
+    settings.cross_budget_bytes_per_s as f64 * BUDGET_WINDOW.as_secs_f64()
 }
--- a/crates/core/tests/cache.rs
+++ b/crates/core/tests/cache.rs
@@ -75,7 +75,7 @@
             .for_each(|chunk| chunk.shuffle(&mut rng));
         let mut view = view(1_000);
         for event in late.iter().chain(&events) {
-            assert_eq!(view.fold(*event), cache::Need::Nothing);
+            assert_eq!(view.apply_event(*event), cache::FollowUp::None);
         }
         assert_holds(&view, &held);
         assert_eq!(view.gaps(), 0);
@@ -89,17 +89,17 @@
         let (events, held) = history(&mut rng);
         let mut view = view(1_000);
         let lost = rng.random_range(1..300);
-        let needs: Vec<_> = events
+        let follow_ups: Vec<_> = events
             .iter()
             .filter(|event| event.seq != lost)
-            .map(|event| view.fold(*event))
+            .map(|event| view.apply_event(*event))
             .collect();
-        assert!(needs.contains(&cache::Need::Listing));
+        assert!(follow_ups.contains(&cache::FollowUp::FetchSnapshot));
         assert_eq!(view.gaps(), 1);
-        let listing = held
+        let snapshot = held
             .iter()
             .map(|(number, t)| (chat(*number), units::Tokens(*t)));
-        view.load(400, listing);
+        view.load_snapshot(400, snapshot);
         assert_holds(&view, &held);
     }
 }
@@ -107,11 +107,11 @@
 #[test]
 fn a_listing_older_than_the_view_is_ignored_and_newer_events_stay() {
     let mut view = view(1_000);
-    (0..10).for_each(|seq| assert_eq!(view.fold(stored(seq, seq)), cache::Need::Nothing));
-    view.load(5, []);
+    (0..10).for_each(|seq| assert_eq!(view.apply_event(stored(seq, seq)), cache::FollowUp::None));
+    view.load_snapshot(5, []);
     assert_eq!(view.len(), 10);
-    view.fold(stored(12, 99));
-    view.load(12, [(chat(1), units::Tokens(7))]);
+    view.apply_event(stored(12, 99));
+    view.load_snapshot(12, [(chat(1), units::Tokens(7))]);
     assert_eq!(view.tokens(chat(1)), units::Tokens(7));
     assert_eq!(view.tokens(chat(99)), units::Tokens(112));
     assert_eq!(view.len(), 2);
@@ -121,18 +121,18 @@
 fn a_view_keeps_to_its_bound_and_forgets_the_oldest() {
     let mut view = view(8);
     for seq in 0..100 {
-        view.fold(stored(seq, seq));
+        view.apply_event(stored(seq, seq));
         assert!(view.len() <= 8);
     }
-    view.sent(chat(93), units::Tokens(5_000));
-    view.fold(stored(100, 100));
+    view.record_sent(chat(93), units::Tokens(5_000));
+    view.apply_event(stored(100, 100));
     assert_eq!(view.tokens(chat(93)), units::Tokens(5_000));
     assert_eq!(view.tokens(chat(92)), units::Tokens::ZERO);
 }
 
 /// Endpoint 0 holds 4,000 tokens and may be at its bound; endpoint 1 holds nothing.
-fn choices(wait: Option<Duration>, remote: bool) -> [spill::Choice; 2] {
-    let holder = spill::Choice {
+fn choices(wait: Option<Duration>, remote: bool) -> [spill::EndpointOption; 2] {
+    let holder = spill::EndpointOption {
         endpoint: entity::EndpointId::from_index(0),
         held: units::Tokens(4_000),
         load: Some(1_000),
@@ -140,7 +140,7 @@
         remote: false,
         wait,
     };
-    let other = spill::Choice {
+    let other = spill::EndpointOption {
         endpoint: entity::EndpointId::from_index(1),
         held: units::Tokens::ZERO,
         load: (!remote).then_some(1_000),
@@ -151,19 +151,19 @@
     [holder, other]
 }
 
-fn choose(settings: spill::Settings, options: &[spill::Choice]) -> Option<spill::Way> {
+fn choose(settings: spill::Settings, options: &[spill::EndpointOption]) -> Option<spill::Decision> {
     let mut chooser = spill::Chooser::new(settings, time::Time::ZERO);
     chooser.choose(units::Tokens(4_100), 400, options, time::Time::ZERO)
 }
 
 #[test]
 fn the_holder_is_taken_while_it_admits() {
-    let way = choose(
+    let decision = choose(
         spill::Settings::default(),
         &choices(Some(Duration::ZERO), false),
     );
     let endpoint = entity::EndpointId::from_index(0);
-    assert_eq!(way, Some(spill::Way::Send { endpoint }));
+    assert_eq!(decision, Some(spill::Decision::Send { endpoint }));
 }
 
 #[test]
@@ -171,7 +171,7 @@
     let settings = spill::Settings::default();
     let short = choose(settings, &choices(Some(Duration::from_millis(20)), false));
     assert!(
-        matches!(short, Some(spill::Way::Wait { at_most, .. }) if at_most == settings.max_wait)
+        matches!(short, Some(spill::Decision::Wait { at_most, .. }) if at_most == settings.max_wait)
     );
     let long = choose(settings, &choices(Some(Duration::from_secs(2)), false));
     let bytes = units::ByteSize(4_000 * settings.kv_bytes_per_token);
@@ -179,7 +179,7 @@
     let from = entity::EndpointId::from_index(0);
     assert_eq!(
         long,
-        Some(spill::Way::Import {
+        Some(spill::Decision::Import {
             endpoint,
             from,
             bytes
@@ -193,8 +193,8 @@
         domain_bytes_per_s: 1_000_000,
         ..Default::default()
     };
-    let way = choose(settings, &choices(None, false));
-    assert!(matches!(way, Some(spill::Way::Send { endpoint }) if endpoint.index() == 1));
+    let decision = choose(settings, &choices(None, false));
+    assert!(matches!(decision, Some(spill::Decision::Send { endpoint }) if endpoint.index() == 1));
 }
 
 #[test]
@@ -209,12 +209,12 @@
     let mut moved = 0;
     for tenth in 0..600 {
         let now = time::Time::from_millis(100 * tenth);
-        let way = chooser.choose(units::Tokens(4_100), 400, &choices(None, true), now);
-        if let Some(spill::Way::Import { bytes, .. }) = way {
+        let decision = chooser.choose(units::Tokens(4_100), 400, &choices(None, true), now);
+        if let Some(spill::Decision::Import { bytes, .. }) = decision {
             moved += bytes.0;
         }
     }
-    let seconds = 60 + spill::BUDGET_SPAN.as_secs();
+    let seconds = 60 + spill::BUDGET_WINDOW.as_secs();
     assert!(moved > 0 && moved <= settings.cross_budget_bytes_per_s * seconds);
 }
 
@@ -227,7 +227,7 @@
             reuse,
             ..Default::default()
         };
-        choose(settings, &options).map(|way| way.endpoint().index())
+        choose(settings, &options).map(|decision| decision.endpoint().index())
     };
     assert_eq!((at(0.0), at(1.0)), (Some(1), Some(0)));
 }
--- a/crates/measure/src/routing/fleet/caches.rs
+++ b/crates/measure/src/routing/fleet/caches.rs
@@ -1,7 +1,7 @@
 //! What endpoints hold in their caches, and what hosts learn of it.
 
 use pistachiochute_core::entity::Entity as _;
-use pistachiochute_core::routing::{cache, holders};
+use pistachiochute_core::routing::{cache, chat_locations};
 use pistachiochute_core::{entity, request, time, units};
 use rand::Rng as _;
 
@@ -19,9 +19,9 @@
         let tokens = arrival.prompt + arrival.answer;
         let state = &mut self.owners[decider.index()];
         if endpoint == home {
-            state.forget(arrival.chat);
+            state.remove_location(arrival.chat);
         } else {
-            state.note(holders::Notice {
+            state.record_location(chat_locations::ChatLocation {
                 chat: arrival.chat,
                 endpoint,
                 tokens,
@@ -71,8 +71,8 @@
         let Some(owner) = self.world.owner(endpoint) else {
             return;
         };
-        let need = self.owners[owner.index()].cache_event(endpoint, event);
-        if need == cache::Need::Listing {
+        let need = self.owners[owner.index()].apply_cache_event(endpoint, event);
+        if need == cache::FollowUp::FetchSnapshot {
             self.at(now + LISTING_DELAY, Event::Listing(endpoint));
         }
     }
@@ -83,6 +83,6 @@
         };
         let next = self.cache_seqs[endpoint.index()];
         let entries: Vec<_> = self.stores[endpoint.index()].iter().collect();
-        self.owners[owner.index()].cache_listing(endpoint, next, entries);
+        self.owners[owner.index()].load_cache_snapshot(endpoint, next, entries);
     }
 }
--- a/crates/measure/src/routing/fleet/departures.rs
+++ b/crates/measure/src/routing/fleet/departures.rs
@@ -103,7 +103,7 @@
         let notices = self.owners[owner.index()].moved_chats(endpoint, MAX_NOTICES, first_owner);
         for (host, list) in notices {
             for notice in list {
-                self.owners[host.index()].note(notice);
+                self.owners[host.index()].record_location(notice);
             }
         }
     }
--- a/crates/measure/src/routing/fleet/mod.rs
+++ b/crates/measure/src/routing/fleet/mod.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use pistachiochute_core::entity::Entity as _;
-use pistachiochute_core::routing::{bound, cache, owner, pacer, spill};
+use pistachiochute_core::routing::{bound, cache, pacer, router, spill};
 use pistachiochute_core::{entity, time};
 use rand::SeedableRng as _;
 
@@ -90,7 +90,7 @@
     deployment: &'a traces::Deployment,
     trace: &'a [traces::Arrival],
     world: world::World,
-    owners: Vec<owner::Owner>,
+    owners: Vec<router::TargetRouter>,
     paces: Vec<pacer::ReportPacer>,
     stores: Vec<store::Store>,
     /// Number of the next cache event of each endpoint.
@@ -137,7 +137,7 @@
         let mut fleet = Self {
             deployment,
             trace,
-            owners: vec![owner::Owner::new(settings, time::Time::ZERO); deployment.hosts],
+            owners: vec![router::TargetRouter::new(settings, time::Time::ZERO); deployment.hosts],
             paces: vec![pacer::ReportPacer::new(pacer::Settings::default()); deployment.hosts],
             stores: vec![store::Store::new(deployment.cache_tokens); count],
             cache_seqs: vec![0; count],
@@ -214,9 +214,9 @@
     }
 }
 
-fn settings(deployment: &traces::Deployment) -> owner::Settings {
+fn settings(deployment: &traces::Deployment) -> router::Settings {
     let multiple = bound::Multiple::from_hundredths(deployment.multiple).unwrap_or_default();
-    owner::Settings {
+    router::Settings {
         bound: bound::Settings {
             multiple,
             ..bound::Settings::default()
--- a/crates/measure/src/routing/fleet/requests.rs
+++ b/crates/measure/src/routing/fleet/requests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pistachiochute_core::entity::Entity as _;
-use pistachiochute_core::routing::{owner, spill};
+use pistachiochute_core::routing::{router, spill};
 use pistachiochute_core::{entity, time, units};
 
 use super::{Event, Fleet, RETRY_DELAY};
@@ -22,7 +22,7 @@
             return;
         };
         self.forward_views(entry, decider, now);
-        let ask = owner::Ask {
+        let ask = router::RouteRequest {
             chat: Some(arrival.chat),
             prompt: arrival.prompt,
             cost: arrival.cost(),
@@ -31,7 +31,7 @@
             may_wait: !self.progress[number].waited,
         };
         match self.owners[decider.index()].decide(&ask, now) {
-            Some(spill::Way::Wait { endpoint, at_most }) => {
+            Some(spill::Decision::Wait { endpoint, at_most }) => {
                 self.wait(number, decider, endpoint, at_most, now);
             }
             Some(way) => self.send(number, decider, home, way, now),
@@ -88,13 +88,13 @@
         number: usize,
         decider: entity::HostId,
         home: entity::EndpointId,
-        way: spill::Way,
+        way: spill::Decision,
         now: time::Time,
     ) {
         let endpoint = way.endpoint();
         let from = match way {
-            spill::Way::Import { from, .. } => Some(from),
-            spill::Way::Send { .. } | spill::Way::Wait { .. } => None,
+            spill::Decision::Import { from, .. } => Some(from),
+            spill::Decision::Send { .. } | spill::Decision::Wait { .. } => None,
         };
         let owner = self
             .world
--- a/crates/measure/src/routing/store.rs
+++ b/crates/measure/src/routing/store.rs
@@ -1,6 +1,6 @@
 //! Prefix store of an endpoint: whole chats, least recently used first out.
 
-use pistachiochute_core::routing::recent;
+use pistachiochute_core::routing::lru;
 use pistachiochute_core::{request, units};
 
 /// Prefixes that an endpoint holds, up to a number of tokens.
@@ -8,7 +8,7 @@
 pub struct Store {
     capacity: u64,
     used: u64,
-    chats: recent::Recent<request::ChatKey, units::Tokens>,
+    chats: lru::LruMap<request::ChatKey, units::Tokens>,
 }
 
 impl Store {
@@ -18,7 +18,7 @@
         Self {
             capacity,
             used: 0,
-            chats: recent::Recent::new(usize::MAX),
+            chats: lru::LruMap::new(usize::MAX),
         }
     }
 
@@ -39,7 +39,7 @@
         self.used += tokens.0;
         let mut evicted = Vec::new();
         while self.used > self.capacity
-            && let Some((chat, tokens)) = self.chats.pop_oldest()
+            && let Some((chat, tokens)) = self.chats.pop_lru()
         {
             self.used -= tokens.0;
             evicted.push(chat);
