--- a/crates/core/src/owner/station.rs
+++ b/crates/core/src/owner/endpoint.rs
@@ -27,7 +27,7 @@
 
 /// Work at one endpoint.
 #[derive(Debug)]
-pub struct Station {
+pub struct EndpointState {
     /// Requests that the endpoint runs at once.
     slots: usize,
     open: bool,
@@ -35,7 +35,7 @@
     queue: queue::FairQueue<Waiting>,
 }
 
-impl Station {
+impl EndpointState {
     pub fn new(bounds: queue::Bounds) -> Self {
         Self {
             slots: 0,
@@ -67,7 +67,7 @@
         self.running.values().map(|running| running.load).sum()
     }
 
-    pub fn has_queue(&self) -> bool {
+    pub fn has_queued(&self) -> bool {
         !self.queue.is_empty()
     }
 
@@ -126,7 +126,7 @@
         Some(ended.load)
     }
 
-    pub fn abandon(&mut self, id: AttemptId) -> bool {
+    pub fn cancel(&mut self, id: AttemptId) -> bool {
         !self.queue.remove(|queued| queued.id == id).is_empty()
     }
 
@@ -134,7 +134,7 @@
         self.queue.expire(now).into_iter().map(refused).collect()
     }
 
-    pub fn shut(&mut self, reason: reason::Refusal) -> Effects {
+    pub fn close(&mut self, reason: reason::Refusal) -> Effects {
         self.open = false;
         let refuse = |entry: queue::Entry<Waiting>| Effect::Refuse {
             id: entry.item.id,
@@ -145,7 +145,7 @@
     }
 
     /// The queued work to start next, if a slot is free.
-    pub fn next(&self) -> Option<&Waiting> {
+    pub fn next_startable(&self) -> Option<&Waiting> {
         let free = self.running.len() < self.slots;
         self.queue.next_item().filter(|_| free)
     }
--- a/crates/core/src/owner/mod.rs
+++ b/crates/core/src/owner/mod.rs
@@ -7,7 +7,7 @@
 //!
 //! Loads of engines and of services have different units, so each [`Class`] has its own pool.
 
-mod station;
+mod endpoint;
 
 use smallvec::SmallVec;
 
@@ -106,7 +106,7 @@
 #[derive(Debug)]
 pub struct Owner {
     cfg: Config,
-    stations: map::EntityMap<entity::EndpointId, station::Station>,
+    endpoints: map::EntityMap<entity::EndpointId, endpoint::EndpointState>,
     classes: map::EntityMap<entity::EndpointId, Class>,
     engines: pool::Pool,
     services: pool::Pool,
@@ -118,7 +118,7 @@
     pub fn new(cfg: Config) -> Self {
         Self {
             cfg,
-            stations: map::EntityMap::new(),
+            endpoints: map::EntityMap::new(),
             classes: map::EntityMap::new(),
             engines: pool::Pool::new(cfg.bound),
             services: pool::Pool::new(cfg.bound),
@@ -154,11 +154,11 @@
         slots: u32,
     ) -> bool {
         let bounds = self.cfg.queue;
-        let station = self
-            .stations
-            .get_or_insert_with(endpoint, || station::Station::new(bounds));
-        station.set_slots(slots);
-        let running = station.running_load();
+        let state = self
+            .endpoints
+            .get_or_insert_with(endpoint, || endpoint::EndpointState::new(bounds));
+        state.set_slots(slots);
+        let running = state.running_load();
         self.classes.insert(endpoint, class);
         let pool = self.pool_mut(class);
         if pool.owns(endpoint) {
@@ -181,22 +181,22 @@
         if let Some(&class) = self.classes.get(endpoint) {
             self.pool_mut(class).handed_over(endpoint, load);
         }
-        self.fill(now, endpoint)
+        self.dispatch_queued_at(now, endpoint)
     }
 
     /// Stops taking new work for an endpoint and refuses what waits for it. Running work goes on.
-    pub fn shut(
+    pub fn close(
         &mut self,
         now: time::Time,
         endpoint: entity::EndpointId,
         reason: reason::Refusal,
     ) -> Effects {
-        let Some(station) = self.stations.get_mut(endpoint) else {
+        let Some(state) = self.endpoints.get_mut(endpoint) else {
             return Effects::new();
         };
-        let effects = station.shut(reason);
-        if station.is_idle() {
-            self.stations.remove(endpoint);
+        let effects = state.close(reason);
+        if state.is_idle() {
+            self.endpoints.remove(endpoint);
         }
         if let Some(&class) = self.classes.get(endpoint) {
             self.pool_mut(class).give_up(endpoint, now);
@@ -207,13 +207,13 @@
     /// Whether the host takes new work for the endpoint.
     #[must_use]
     pub fn is_open(&self, endpoint: entity::EndpointId) -> bool {
-        self.stations
+        self.endpoints
             .get(endpoint)
-            .is_some_and(station::Station::is_open)
+            .is_some_and(endpoint::EndpointState::is_open)
     }
 
     /// Takes in what another host says of the load of an endpoint that it owns.
-    pub fn view(
+    pub fn update_view(
         &mut self,
         now: time::Time,
         endpoint: entity::EndpointId,
@@ -227,11 +227,11 @@
     /// Offers work for an endpoint.
     pub fn offer(&mut self, now: time::Time, endpoint: entity::EndpointId, work: Work) -> Effects {
         let fits = self.fits(now, endpoint, work.load, &work.pool);
-        let Some(station) = self.stations.get_mut(endpoint).filter(|s| s.is_open()) else {
+        let Some(state) = self.endpoints.get_mut(endpoint).filter(|s| s.is_open()) else {
             return refuse(work.id, reason::Refusal::NotOwner);
         };
         let load = work.load;
-        let effects = station.offer(now, work, fits);
+        let effects = state.offer(now, work, fits);
         let dispatched = effects.iter().any(|e| matches!(e, Effect::Dispatch(_)));
         if dispatched && let Some(&class) = self.classes.get(endpoint) {
             self.pool_mut(class).record_start(endpoint, load);
@@ -247,57 +247,61 @@
         id: AttemptId,
         used: Option<units::Tokens>,
     ) -> Effects {
-        let Some(station) = self.stations.get_mut(endpoint) else {
+        let Some(state) = self.endpoints.get_mut(endpoint) else {
             return Effects::new();
         };
-        let ended = station.finish(id, used);
-        if !station.is_open() && station.is_idle() {
-            self.stations.remove(endpoint);
+        let ended = state.finish(id, used);
+        if !state.is_open() && state.is_idle() {
+            self.endpoints.remove(endpoint);
         }
         if let (Some(load), Some(&class)) = (ended, self.classes.get(endpoint)) {
             self.pool_mut(class).complete(endpoint, load, now);
         }
-        self.fill(now, endpoint)
+        self.dispatch_queued_at(now, endpoint)
     }
 
     /// Takes work out of the queue, because its caller went away.
-    pub fn abandon(&mut self, endpoint: entity::EndpointId, id: AttemptId) -> bool {
-        self.stations
+    pub fn cancel(&mut self, endpoint: entity::EndpointId, id: AttemptId) -> bool {
+        self.endpoints
             .get_mut(endpoint)
-            .is_some_and(|station| station.abandon(id))
+            .is_some_and(|state| state.cancel(id))
     }
 
     /// Starts queued work for which room was made elsewhere: by a mean that rose or by a grace
     /// period that ended.
-    pub fn fill_all(&mut self, now: time::Time) -> Effects {
+    pub fn dispatch_queued(&mut self, now: time::Time) -> Effects {
         let open: SmallVec<[entity::EndpointId; 8]> = self
-            .stations
+            .endpoints
             .iter()
-            .filter(|(_, station)| station.has_queue())
+            .filter(|(_, state)| state.has_queued())
             .map(|(endpoint, _)| endpoint)
             .collect();
         open.into_iter()
-            .flat_map(|endpoint| self.fill(now, endpoint))
+            .flat_map(|endpoint| self.dispatch_queued_at(now, endpoint))
             .collect()
     }
 
     /// Starts queued work of an endpoint while it has a free slot and the bound allows.
-    fn fill(&mut self, now: time::Time, endpoint: entity::EndpointId) -> Effects {
+    fn dispatch_queued_at(&mut self, now: time::Time, endpoint: entity::EndpointId) -> Effects {
         // What is late goes first, so that the work that is checked is the one that starts.
-        let mut effects = match self.stations.get_mut(endpoint) {
-            Some(station) => station.expire(now),
+        let mut effects = match self.endpoints.get_mut(endpoint) {
+            Some(state) => state.expire(now),
             None => return Effects::new(),
         };
-        while let Some(next) = self.stations.get(endpoint).and_then(station::Station::next) {
+        while let Some(next) = self
+            .endpoints
+            .get(endpoint)
+            .and_then(endpoint::EndpointState::next_startable)
+        {
             let load = next.load;
             let pool = next.pool.clone();
             if !self.fits(now, endpoint, load, &pool) {
                 break;
             }
-            let Some(station) = self.stations.get_mut(endpoint) else {
+            let Some(state) = self.endpoints.get_mut(endpoint) else {
                 break;
             };
-            let Some(started) = station.start_next(now, &mut effects) else {
+            let Some(started) = state.start_next(now, &mut effects) else {
                 continue;
             };
             if let Some(&class) = self.classes.get(endpoint) {
@@ -309,31 +313,31 @@
 
     /// Refuses the queued work whose deadline can no longer be met.
     pub fn expire(&mut self, now: time::Time) -> Effects {
-        self.stations
+        self.endpoints
             .iter_mut()
-            .flat_map(|(_, station)| station.expire(now))
+            .flat_map(|(_, state)| state.expire(now))
             .collect()
     }
 
     /// Number of endpoints that the host takes new work for.
     #[must_use]
-    pub fn open_endpoints(&self) -> usize {
-        self.stations
+    pub fn open_count(&self) -> usize {
+        self.endpoints
             .values()
-            .filter(|station| station.is_open())
+            .filter(|state| state.is_open())
             .count()
     }
 
     /// Endpoints that the host takes new work for.
     pub fn open_ids(&self) -> impl Iterator<Item = entity::EndpointId> {
-        self.stations
+        self.endpoints
             .iter()
-            .filter(|(_, station)| station.is_open())
+            .filter(|(_, state)| state.is_open())
             .map(|(endpoint, _)| endpoint)
     }
 
     /// Loads of the endpoints that the host owns and has taken over whole.
-    pub fn loads(&self) -> impl Iterator<Item = (entity::EndpointId, u64)> {
+    pub fn owned_loads(&self) -> impl Iterator<Item = (entity::EndpointId, u64)> {
         self.engines
             .owned_loads()
             .chain(self.services.owned_loads())
@@ -341,17 +345,20 @@
 
     /// Load that this host has in flight at endpoints that it gave up.
     #[must_use]
-    pub fn left(&self, endpoint: entity::EndpointId) -> u64 {
-        self.stations
+    pub fn residual_load(&self, endpoint: entity::EndpointId) -> u64 {
+        self.endpoints
             .get(endpoint)
-            .filter(|station| !station.is_open())
-            .map_or(0, station::Station::running_load)
+            .filter(|state| !state.is_open())
+            .map_or(0, endpoint::EndpointState::running_load)
     }
 
     /// Work that runs and waits over all endpoints, in requests.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.stations.values().map(station::Station::len).sum()
+        self.endpoints
+            .values()
+            .map(endpoint::EndpointState::len)
+            .sum()
     }
 
     /// Whether no work runs or waits.
--- a/crates/core/src/routing/handover.rs
+++ b/crates/core/src/routing/handover.rs
@@ -14,25 +14,25 @@
 
 use crate::{entity, time};
 
-/// Time between two questions to the same host.
-const ASK_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two queries to the same host.
+const QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Endpoints that one host is asked about.
-pub type Question = (entity::HostId, SmallVec<[entity::EndpointId; 4]>);
+pub type Query = (entity::HostId, SmallVec<[entity::EndpointId; 4]>);
 
 /// An endpoint that was taken over.
 #[derive(Clone, Debug)]
 struct Claim {
     /// Hosts that have not answered.
-    silent: BTreeSet<entity::HostId>,
+    unanswered: BTreeSet<entity::HostId>,
     /// Load that other hosts left in flight, above zero.
-    left: BTreeMap<entity::HostId, u64>,
+    residual: BTreeMap<entity::HostId, u64>,
 }
 
 impl Claim {
     /// Hosts that have to be asked again.
-    fn asked(&self) -> impl Iterator<Item = entity::HostId> {
-        self.silent.iter().chain(self.left.keys()).copied()
+    fn hosts_to_query(&self) -> impl Iterator<Item = entity::HostId> {
+        self.unanswered.iter().chain(self.residual.keys()).copied()
     }
 }
 
@@ -41,7 +41,7 @@
 pub struct Handovers {
     /// Claims that are not settled. Invariant: each has a silent host or load that was left.
     claims: BTreeMap<entity::EndpointId, Claim>,
-    asked_at: Option<time::Time>,
+    queried_at: Option<time::Time>,
 }
 
 impl Handovers {
@@ -51,81 +51,89 @@
     where
         I: IntoIterator<Item = entity::HostId>,
     {
-        let silent: BTreeSet<_> = peers.into_iter().collect();
-        if silent.is_empty() {
+        let unanswered: BTreeSet<_> = peers.into_iter().collect();
+        if unanswered.is_empty() {
             return true;
         }
-        let left = BTreeMap::new();
-        self.claims.insert(endpoint, Claim { silent, left });
-        self.asked_at = None;
+        let residual = BTreeMap::new();
+        self.claims.insert(
+            endpoint,
+            Claim {
+                unanswered,
+                residual,
+            },
+        );
+        self.queried_at = None;
         false
     }
 
     /// Forgets an endpoint that the host no longer owns.
-    pub fn forget(&mut self, endpoint: entity::EndpointId) {
+    pub fn cancel(&mut self, endpoint: entity::EndpointId) {
         self.claims.remove(&endpoint);
     }
 
     /// Takes in that a host does not own an endpoint and has `load` in flight there. Returns the
     /// load of all other hosts once all have answered.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         from: entity::HostId,
         endpoint: entity::EndpointId,
         load: u64,
     ) -> Option<u64> {
         let claim = self.claims.get_mut(&endpoint)?;
-        claim.silent.remove(&from);
-        claim.left.remove(&from);
+        claim.unanswered.remove(&from);
+        claim.residual.remove(&from);
         if load > 0 {
-            claim.left.insert(from, load);
+            claim.residual.insert(from, load);
         }
         self.settle(endpoint)
     }
 
     /// Takes in that a host has gone: what it had in flight ended with its connections. It still
-    /// counts as silent, because it may only seem to be gone. Returns the endpoints whose load of
+    /// counts as unanswered, because it may only seem to be gone. Returns the endpoints whose load of
     /// other hosts changed.
-    pub fn gone(&mut self, host: entity::HostId) -> SmallVec<[(entity::EndpointId, u64); 4]> {
+    pub fn host_down(&mut self, host: entity::HostId) -> SmallVec<[(entity::EndpointId, u64); 4]> {
         let with_load: SmallVec<[entity::EndpointId; 4]> = self
             .claims
             .iter()
-            .filter(|(_, claim)| claim.left.contains_key(&host))
+            .filter(|(_, claim)| claim.residual.contains_key(&host))
             .map(|(endpoint, _)| *endpoint)
             .collect();
         with_load
             .into_iter()
             .filter_map(|endpoint| {
-                self.claims.get_mut(&endpoint)?.left.remove(&host);
+                self.claims.get_mut(&endpoint)?.residual.remove(&host);
                 Some((endpoint, self.settle(endpoint)?))
             })
             .collect()
     }
 
     /// Questions that are due now, by host.
-    pub fn due(&mut self, now: time::Time) -> SmallVec<[Question; 4]> {
-        let recent = self.asked_at.is_some_and(|at| now.since(at) < ASK_INTERVAL);
+    pub fn due_queries(&mut self, now: time::Time) -> SmallVec<[Query; 4]> {
+        let recent = self
+            .queried_at
+            .is_some_and(|at| now.since(at) < QUERY_INTERVAL);
         if recent || self.claims.is_empty() {
             return SmallVec::new();
         }
-        self.asked_at = Some(now);
-        let mut questions: BTreeMap<_, SmallVec<_>> = BTreeMap::new();
+        self.queried_at = Some(now);
+        let mut queries: BTreeMap<_, SmallVec<_>> = BTreeMap::new();
         for (endpoint, claim) in &self.claims {
-            for host in claim.asked() {
-                questions.entry(host).or_default().push(*endpoint);
+            for host in claim.hosts_to_query() {
+                queries.entry(host).or_default().push(*endpoint);
             }
         }
-        questions.into_iter().collect()
+        queries.into_iter().collect()
     }
 
-    /// Load that was left, once no host is silent. Forgets a claim without any.
+    /// Load that was left, once no host is unanswered. Forgets a claim without any.
     fn settle(&mut self, endpoint: entity::EndpointId) -> Option<u64> {
         let claim = self.claims.get(&endpoint)?;
-        if !claim.silent.is_empty() {
+        if !claim.unanswered.is_empty() {
             return None;
         }
         let load = claim
-            .left
+            .residual
             .values()
             .fold(0_u64, |sum, load| sum.saturating_add(*load));
         if load == 0 {
--- a/crates/core/tests/owner.rs
+++ b/crates/core/tests/owner.rs
@@ -54,7 +54,7 @@
         age: Duration::ZERO,
         pushes_changes: Some(true),
     };
-    owner.view(now, endpoint(1), remote);
+    owner.update_view(now, endpoint(1), remote);
 }
 
 fn dispatched(effects: &owner::Effects) -> usize {
@@ -84,7 +84,10 @@
         0
     );
     assert_eq!(dispatched(&owner.handed_over(now, endpoint(0), 0)), 1);
-    assert_eq!(owner.loads().collect::<Vec<_>>(), [(endpoint(0), 100)]);
+    assert_eq!(
+        owner.owned_loads().collect::<Vec<_>>(),
+        [(endpoint(0), 100)]
+    );
 }
 
 #[test]
@@ -92,8 +95,14 @@
     let mut owner = owner();
     let now = time::Time::from_millis(10);
     owner.offer(now, endpoint(0), work(1, 100, true));
-    assert_eq!(dispatched(&owner.fill_all(now + Duration::from_secs(2))), 0);
-    assert_eq!(dispatched(&owner.fill_all(now + Duration::from_secs(4))), 1);
+    assert_eq!(
+        dispatched(&owner.dispatch_queued(now + Duration::from_secs(2))),
+        0
+    );
+    assert_eq!(
+        dispatched(&owner.dispatch_queued(now + Duration::from_secs(4))),
+        1
+    );
 }
 
 #[test]
@@ -107,9 +116,9 @@
     // 1600 is the largest load within 1.25 times the mean with 1000 at the other endpoint.
     assert!((10..=16).contains(&started), "{started}");
     let later = now + Duration::from_millis(20);
-    assert_eq!(dispatched(&owner.fill_all(later)), 0);
+    assert_eq!(dispatched(&owner.dispatch_queued(later)), 0);
     view(&mut owner, later, 4_000);
-    assert_eq!(dispatched(&owner.fill_all(later)), 20 - started);
+    assert_eq!(dispatched(&owner.dispatch_queued(later)), 20 - started);
 }
 
 #[test]
@@ -120,11 +129,11 @@
     let running = work(1, 100, true);
     let id = running.id;
     assert_eq!(dispatched(&owner.offer(now, endpoint(0), running)), 1);
-    owner.shut(now, endpoint(0), reason::Refusal::NotOwner);
-    assert_eq!(owner.left(endpoint(0)), 100);
+    owner.close(now, endpoint(0), reason::Refusal::NotOwner);
+    assert_eq!(owner.residual_load(endpoint(0)), 100);
     assert!(!owner.is_open(endpoint(0)));
     owner.finish(now, endpoint(0), id, None);
-    assert_eq!(owner.left(endpoint(0)), 0);
+    assert_eq!(owner.residual_load(endpoint(0)), 0);
     assert!(owner.is_empty());
 }
 
@@ -134,16 +143,16 @@
     assert!(handovers.claim(endpoint(3), []));
     assert!(!handovers.claim(endpoint(0), [host(1), host(2)]));
     let asked = |handovers: &mut handover::Handovers, secs| {
-        let due = handovers.due(time::Time::from_secs(secs));
+        let due = handovers.due_queries(time::Time::from_secs(secs));
         due.into_iter().map(|(host, _)| host).collect::<Vec<_>>()
     };
     assert_eq!(asked(&mut handovers, 1), [host(1), host(2)]);
     assert!(asked(&mut handovers, 1).is_empty());
-    assert_eq!(handovers.answered(host(1), endpoint(0), 70), None);
-    assert_eq!(handovers.answered(host(2), endpoint(0), 0), Some(70));
+    assert_eq!(handovers.record_answer(host(1), endpoint(0), 70), None);
+    assert_eq!(handovers.record_answer(host(2), endpoint(0), 0), Some(70));
     assert_eq!(asked(&mut handovers, 2), [host(1)]);
-    assert_eq!(handovers.answered(host(1), endpoint(0), 30), Some(30));
-    assert_eq!(handovers.gone(host(1)).to_vec(), [(endpoint(0), 0)]);
+    assert_eq!(handovers.record_answer(host(1), endpoint(0), 30), Some(30));
+    assert_eq!(handovers.host_down(host(1)).to_vec(), [(endpoint(0), 0)]);
     assert!(asked(&mut handovers, 3).is_empty());
 }
 
@@ -151,7 +160,7 @@
 fn a_host_that_seems_gone_still_has_to_answer_or_outlast_the_grace_period() {
     let mut handovers = handover::Handovers::default();
     handovers.claim(endpoint(0), [host(1), host(2)]);
-    assert!(handovers.gone(host(1)).is_empty());
-    assert_eq!(handovers.answered(host(2), endpoint(0), 0), None);
-    assert_eq!(handovers.answered(host(1), endpoint(0), 0), Some(0));
+    assert!(handovers.host_down(host(1)).is_empty());
+    assert_eq!(handovers.record_answer(host(2), endpoint(0), 0), None);
+    assert_eq!(handovers.record_answer(host(1), endpoint(0), 0), Some(0));
 }
--- a/crates/runtime/src/control/arrive.rs
+++ b/crates/runtime/src/control/arrive.rs
@@ -162,7 +162,7 @@
             age_ms: 0,
         };
         self.owner
-            .loads()
+            .owned_loads()
             .filter(|(endpoint, _)| serves(endpoint))
             .take(MAX_LOADS)
             .map(view)
--- a/crates/runtime/src/control/loads.rs
+++ b/crates/runtime/src/control/loads.rs
@@ -82,15 +82,15 @@
         endpoint: entity::EndpointId,
         reason: reason::Refusal,
     ) {
-        self.handovers.forget(endpoint);
+        self.handovers.cancel(endpoint);
         self.health.remove(endpoint);
-        let effects = self.owner.shut(now, endpoint, reason);
+        let effects = self.owner.close(now, endpoint, reason);
         self.deliver(effects);
     }
 
     /// Asks the other hosts of the domain about the endpoints that this host takes over.
     fn ask_former_owners(&mut self, now: time::Time) {
-        for (peer, claims) in self.handovers.due(now) {
+        for (peer, claims) in self.handovers.due_queries(now) {
             let report = self.report(claims);
             self.send(peer, &control::Message::Loads(report));
         }
@@ -103,7 +103,7 @@
             pushes_changes: self.prompt,
             loads: self
                 .owner
-                .loads()
+                .owned_loads()
                 .map(load)
                 .take(report::MAX_ENTRIES)
                 .collect(),
@@ -129,7 +129,7 @@
         }
         self.send_report(now, &peers);
         self.ask_former_owners(now);
-        let effects = self.owner.fill_all(now);
+        let effects = self.owner.dispatch_queued(now);
         self.deliver(effects);
     }
 
@@ -151,7 +151,7 @@
         let not_owned = |endpoint: &&entity::EndpointId| !self.owner.is_open(**endpoint);
         let left = |endpoint: &entity::EndpointId| report::Load {
             endpoint: *endpoint,
-            load: self.owner.left(*endpoint),
+            load: self.owner.residual_load(*endpoint),
         };
         let claims = report.claims.iter().take(report::MAX_ENTRIES);
         report::Report {
@@ -168,12 +168,12 @@
                 age: REPORT_AGE,
                 pushes_changes: Some(report.pushes_changes),
             };
-            self.owner.view(now, load.endpoint, reading);
+            self.owner.update_view(now, load.endpoint, reading);
         }
         for left in report.residual.iter().take(report::MAX_ENTRIES) {
             if let Some(load) = self
                 .handovers
-                .answered(report.from, left.endpoint, left.load)
+                .record_answer(report.from, left.endpoint, left.load)
             {
                 let effects = self.owner.handed_over(now, left.endpoint, load);
                 self.deliver(effects);
@@ -183,7 +183,7 @@
 
     /// Takes in that a host cannot be reached any more.
     pub(super) fn host_gone(&mut self, now: time::Time, host: entity::HostId) {
-        for (endpoint, load) in self.handovers.gone(host) {
+        for (endpoint, load) in self.handovers.host_down(host) {
             let effects = self.owner.handed_over(now, endpoint, load);
             self.deliver(effects);
         }
--- a/crates/runtime/src/control/offer.rs
+++ b/crates/runtime/src/control/offer.rs
@@ -63,7 +63,7 @@
                 age: Duration::from_millis(view.age_ms.into()),
                 pushes_changes: None,
             };
-            self.owner.view(now, view.endpoint, reading);
+            self.owner.update_view(now, view.endpoint, reading);
         }
     }
 
--- a/crates/runtime/src/control/state.rs
+++ b/crates/runtime/src/control/state.rs
@@ -160,7 +160,7 @@
             }
             Command::Abandon { endpoint, id } => {
                 self.forget(id);
-                if !self.owner.abandon(endpoint, id) {
+                if !self.owner.cancel(endpoint, id) {
                     // It was dispatched at the same moment, and nobody will run it.
                     let effects = self.owner.finish(now, endpoint, id, None);
                     self.deliver(effects);
@@ -267,7 +267,7 @@
             revision: self.revision,
             arrived: self.arrived.len(),
             owned: self.owner.len(),
-            open_endpoints: self.owner.open_endpoints(),
+            open_endpoints: self.owner.open_count(),
             host_list: self.directory.version(),
         }
     }
