--- a/crates/core/src/choice/cost.rs
+++ b/crates/core/src/choice/cost.rs
@@ -6,14 +6,14 @@
 const BOUND_MULTIPLE: f64 = 1.5;
 
 /// Requests above the multiple that an endpoint may have.
-const BOUND_SLACK: f64 = 2.5;
+const BOUND_SLACK_REQUESTS: f64 = 2.5;
 
 /// Part of the cost of a copy that counts at a home of the prompt, which may hold it by now.
-const HOME_COPY: f64 = 0.25;
+const HOME_COPY_FACTOR: f64 = 0.25;
 
 /// Speeds that costs are computed from.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rates {
+pub struct Parameters {
     /// Prompt tokens that an engine reads in a millisecond.
     pub read_tokens_per_ms: f64,
     /// Multiple of its own time that reading costs, since it holds up all requests that run there.
@@ -23,7 +23,7 @@
     /// Cost of any copy, in milliseconds.
     pub copy_ms: f64,
     /// Time that one more running request costs the others and the new one, in milliseconds.
-    pub crowding_ms: f64,
+    pub contention_ms: f64,
     /// Time that a call to a plain service takes, in milliseconds.
     pub call_ms: f64,
     /// Time that a stream takes, in milliseconds.
@@ -32,14 +32,14 @@
     pub remote_ms: f64,
 }
 
-impl Default for Rates {
+impl Default for Parameters {
     fn default() -> Self {
         Self {
             read_tokens_per_ms: 40.0,
             read_weight: 2.5,
             copy_tokens_per_ms: 200.0,
             copy_ms: 10.0,
-            crowding_ms: 3.0,
+            contention_ms: 3.0,
             call_ms: 30.0,
             stream_ms: 2_000.0,
             remote_ms: 12.0,
@@ -52,51 +52,51 @@
 pub fn bound(candidates: &[choice::Candidate]) -> u32 {
     let total: u32 = candidates.iter().map(|c| c.load.in_flight()).sum();
     let mean = f64::from(total + 1) / candidates.len().max(1) as f64;
-    (mean * BOUND_MULTIPLE + BOUND_SLACK).ceil() as u32
+    (mean * BOUND_MULTIPLE + BOUND_SLACK_REQUESTS).ceil() as u32
 }
 
 /// Time that a request is predicted to lose at an endpoint.
 #[must_use]
-pub fn of(
-    need: &choice::Need,
+pub fn predict_ms(
+    request: &choice::Request,
     candidate: &choice::Candidate,
-    reading: &homes::Reading,
-    rates: &Rates,
+    prefill: &homes::PrefillPlan,
+    params: &Parameters,
 ) -> f64 {
     let remote = if candidate.is_local {
         0.0
     } else {
-        rates.remote_ms
+        params.remote_ms
     };
     let running = candidate.load.in_flight();
     let slots = candidate.slots.max(1);
     let waiting = (running + 1).saturating_sub(slots);
-    match need.prompt {
+    match request.prompt {
         Some(_) => {
             let unread = f64::from(candidate.load.unread_tokens());
-            let own = f64::from(reading.read_tokens) * rates.read_weight;
-            let copy = copy_cost(reading.copy_tokens, rates);
-            let copy = if reading.is_home {
-                copy * HOME_COPY
+            let own = f64::from(prefill.read_tokens) * params.read_weight;
+            let copy = copy_cost(prefill.copy_tokens, params);
+            let copy = if prefill.is_home {
+                copy * HOME_COPY_FACTOR
             } else {
                 copy
             };
-            let wait = f64::from(waiting) * rates.stream_ms / f64::from(slots);
-            let crowding = f64::from(running) * rates.crowding_ms;
-            (unread + own) / rates.read_tokens_per_ms + copy + wait + crowding + remote
+            let wait = f64::from(waiting) * params.stream_ms / f64::from(slots);
+            let contention = f64::from(running) * params.contention_ms;
+            (unread + own) / params.read_tokens_per_ms + copy + wait + contention + remote
         }
         None => {
-            let wait = f64::from(waiting) * rates.call_ms / f64::from(slots);
-            let crowding = f64::from(running) * rates.call_ms / f64::from(slots);
-            wait + crowding + remote
+            let wait = f64::from(waiting) * params.call_ms / f64::from(slots);
+            let contention = f64::from(running) * params.call_ms / f64::from(slots);
+            wait + contention + remote
         }
     }
 }
 
 /// Cost of copying tokens, in milliseconds.
-fn copy_cost(tokens: u32, rates: &Rates) -> f64 {
+fn copy_cost(tokens: u32, params: &Parameters) -> f64 {
     match tokens {
         0 => 0.0,
-        _ => rates.copy_ms + f64::from(tokens) / rates.copy_tokens_per_ms,
+        _ => params.copy_ms + f64::from(tokens) / params.copy_tokens_per_ms,
     }
 }
--- a/crates/core/src/choice/homes.rs
+++ b/crates/core/src/choice/homes.rs
@@ -18,7 +18,7 @@
 
 /// An endpoint that takes no more requests, but still has its cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Leaving {
+pub struct LeavingEndpoint {
     /// The endpoint.
     pub endpoint: entity::EndpointId,
     /// Hash of its identity, the same on every host.
@@ -27,7 +27,7 @@
 
 /// How an endpoint comes by the tokens of a prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Reading {
+pub struct PrefillPlan {
     /// Tokens that it is predicted to read.
     pub read_tokens: u32,
     /// Tokens that it is predicted to copy from another endpoint's cache.
@@ -42,21 +42,21 @@
 
 /// Where a prompt is, as far as a host knows or assumes.
 #[derive(Debug)]
-pub struct Holders<'a> {
+pub struct PromptLocations<'a> {
     prompt: &'a prompt::Prompt,
-    prefixes: &'a prefix::Prefixes,
+    prefixes: &'a prefix::PrefixIndex,
     now: time::Time,
     /// Tokens that other prompts may share.
-    shared: u32,
+    shared_tokens: u32,
     /// An endpoint that is known to hold all of them and can be copied from.
-    known: Option<entity::EndpointId>,
+    known_holder: Option<entity::EndpointId>,
     /// Homes among the candidates, the best first.
     homes: Ranked,
     /// Homes among all endpoints that can be copied from, the best first.
     sources: Ranked,
 }
 
-impl<'a> Holders<'a> {
+impl<'a> PromptLocations<'a> {
     /// Works out where a prompt is.
     pub fn new(
         prompt: &'a prompt::Prompt,
@@ -90,8 +90,8 @@
             prompt,
             prefixes,
             now,
-            shared,
-            known: known.map(|(endpoint, _)| endpoint),
+            shared_tokens: shared,
+            known_holder: known.map(|(endpoint, _)| endpoint),
             homes,
             sources,
         }
@@ -101,27 +101,27 @@
     #[must_use]
     pub fn may_hold(&self, endpoint: entity::EndpointId) -> bool {
         let is_home = self.homes.iter().any(|(_, home)| *home == endpoint);
-        is_home || self.known == Some(endpoint)
+        is_home || self.known_holder == Some(endpoint)
     }
 
     /// How an endpoint would come by the prompt.
     #[must_use]
-    pub fn reading(&self, endpoint: entity::EndpointId) -> Reading {
+    pub fn prefill_plan(&self, endpoint: entity::EndpointId) -> PrefillPlan {
         let held = self.prefixes.held_tokens(self.prompt, endpoint, self.now);
         let is_home = self.homes.iter().any(|(_, home)| *home == endpoint);
-        let missing = self.shared.saturating_sub(held);
+        let missing = self.shared_tokens.saturating_sub(held);
         let source = self.source_for(endpoint);
         if missing < MIN_COPY_TOKENS || source.is_none() {
-            return Reading {
+            return PrefillPlan {
                 read_tokens: self.prompt.tokens.saturating_sub(held),
                 is_home,
-                ..Reading::default()
+                ..PrefillPlan::default()
             };
         }
         // The first home holds the prompt by all accounts, unless another endpoint is known to.
         let first = self.homes.first().map(|(_, home)| *home);
-        let is_assumed = self.known.is_none() && first == Some(endpoint);
-        Reading {
+        let is_assumed = self.known_holder.is_none() && first == Some(endpoint);
+        PrefillPlan {
             read_tokens: self.prompt.tokens.saturating_sub(held + missing),
             copy_tokens: if is_assumed { 0 } else { missing },
             copy_from: source,
@@ -132,7 +132,7 @@
     /// Endpoint that another one copies from. Copying from one that holds nothing costs little.
     fn source_for(&self, endpoint: entity::EndpointId) -> Option<entity::EndpointId> {
         let sources = self.sources.iter().map(|(_, source)| *source);
-        self.known
+        self.known_holder
             .into_iter()
             .chain(sources)
             .find(|source| *source != endpoint)
--- a/crates/core/src/choice/mod.rs
+++ b/crates/core/src/choice/mod.rs
@@ -16,7 +16,7 @@
 use crate::{entity, routing, time};
 
 /// Endpoints beside those that may hold the prompt that a request is compared over.
-const SAMPLE: u64 = 8;
+const SAMPLE_SIZE: u64 = 8;
 
 /// An endpoint that may take a request.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
 
 /// What a request needs.
 #[derive(Clone, Debug)]
-pub struct Need {
+pub struct Request {
     /// Its prompt, or `None` for a call to a plain service.
     pub prompt: Option<prompt::Prompt>,
     /// A number that differs from request to request.
@@ -49,9 +49,9 @@
 /// What is known of the caches of endpoints.
 pub struct Caches<'a> {
     /// Which endpoints hold which parts.
-    pub prefixes: &'a prefix::Prefixes,
+    pub prefixes: &'a prefix::PrefixIndex,
     /// Endpoints that take no more requests but still have their caches.
-    pub leaving: &'a [homes::Leaving],
+    pub leaving: &'a [homes::LeavingEndpoint],
     /// Whether cached parts can be copied from an endpoint. It need not be a candidate.
     pub is_source: &'a dyn Fn(entity::EndpointId) -> bool,
 }
@@ -81,33 +81,34 @@
 
 /// Whether every endpoint is known to be unreachable and a request is finding out whether it still
 /// is. Another request would only wait for the same answer.
-fn is_hopeless(candidates: &[Candidate]) -> bool {
-    let is_being_tried = |c: &Candidate| !c.is_reachable && c.load.own.requests > 0;
-    candidates.iter().all(is_being_tried)
+fn all_unreachable_and_probed(candidates: &[Candidate]) -> bool {
+    let is_being_probed = |c: &Candidate| !c.is_reachable && c.load.own.requests > 0;
+    candidates.iter().all(is_being_probed)
 }
 
 /// Chooses the endpoint of a request, or `None` if no candidate can serve it.
 #[must_use]
 pub fn choose(
-    need: &Need,
+    request: &Request,
     candidates: &[Candidate],
     caches: &Caches<'_>,
-    rates: &cost::Rates,
+    params: &cost::Parameters,
     now: time::Time,
 ) -> Option<Choice> {
-    if is_hopeless(candidates) {
+    if all_unreachable_and_probed(candidates) {
         return None;
     }
-    let prompt = need.prompt.as_ref();
-    let holders = prompt.map(|prompt| homes::Holders::new(prompt, candidates, caches, now));
+    let prompt = request.prompt.as_ref();
+    let locations =
+        prompt.map(|prompt| homes::PromptLocations::new(prompt, candidates, caches, now));
     let comparison = Comparison {
-        need,
-        holders,
+        request,
+        locations,
         bound: cost::bound(candidates),
-        rates,
-        count: candidates.len() as u32,
+        params,
+        candidate_count: candidates.len() as u32,
     };
-    let sampled = candidates.iter().filter(|c| comparison.is_considered(c));
+    let sampled = candidates.iter().filter(|c| comparison.is_sampled(c));
     let (rank, choice) = comparison.best(sampled)?;
     if !rank.is_failing && !rank.is_over_bound {
         return Some(choice);
@@ -117,26 +118,26 @@
 
 /// What the candidates of one request are compared by.
 struct Comparison<'a> {
-    need: &'a Need,
-    holders: Option<homes::Holders<'a>>,
+    request: &'a Request,
+    locations: Option<homes::PromptLocations<'a>>,
     /// Load from which on an endpoint is above the bound.
     bound: u32,
-    rates: &'a cost::Rates,
+    params: &'a cost::Parameters,
     /// Candidates in all.
-    count: u32,
+    candidate_count: u32,
 }
 
 impl Comparison<'_> {
     /// Whether a candidate is looked at first: where the prompt may be, and a few others that
     /// differ from request to request. If all hosts compared all endpoints by the same digests,
     /// they would all send to the least loaded one until the next digest.
-    fn is_considered(&self, candidate: &Candidate) -> bool {
-        let holders = self.holders.as_ref();
-        if holders.is_some_and(|holders| holders.may_hold(candidate.endpoint)) {
+    fn is_sampled(&self, candidate: &Candidate) -> bool {
+        let locations = self.locations.as_ref();
+        if locations.is_some_and(|locations| locations.may_hold(candidate.endpoint)) {
             return true;
         }
-        let point = routing::rendezvous::score(self.need.seed, candidate.endpoint.as_u32());
-        point % u64::from(self.count.max(1)) < SAMPLE
+        let point = routing::rendezvous::score(self.request.seed, candidate.endpoint.as_u32());
+        point % u64::from(self.candidate_count.max(1)) < SAMPLE_SIZE
     }
 
     /// The best of some candidates.
@@ -145,29 +146,29 @@
         I: Iterator<Item = &'c Candidate>,
     {
         candidates
-            .map(|candidate| self.rate(candidate))
+            .map(|candidate| self.evaluate(candidate))
             .min_by(|(a, _), (b, _)| a.cmp(b))
     }
 
-    fn rate(&self, candidate: &Candidate) -> (Rank, Choice) {
-        let reading = match &self.holders {
-            Some(holders) => holders.reading(candidate.endpoint),
-            None => homes::Reading::default(),
+    fn evaluate(&self, candidate: &Candidate) -> (Rank, Choice) {
+        let prefill = match &self.locations {
+            Some(locations) => locations.prefill_plan(candidate.endpoint),
+            None => homes::PrefillPlan::default(),
         };
-        let cost_ms = cost::of(self.need, candidate, &reading, self.rates);
+        let cost_ms = cost::predict_ms(self.request, candidate, &prefill, self.params);
         let rank = Rank {
             is_failing: !candidate.is_healthy,
             is_over_bound: candidate.load.in_flight() >= self.bound,
             cost_micros: (cost_ms * 1_000.0) as u64,
-            tie: routing::rendezvous::score(self.need.seed, candidate.endpoint.as_u32()),
+            tie_break: routing::rendezvous::score(self.request.seed, candidate.endpoint.as_u32()),
         };
         let choice = Choice {
             endpoint: candidate.endpoint,
             cost_ms,
-            read_tokens: reading.read_tokens,
-            copy_from: reading.copy_from,
-            copy_tokens: reading.copy_tokens,
-            candidates: self.count,
+            read_tokens: prefill.read_tokens,
+            copy_from: prefill.copy_from,
+            copy_tokens: prefill.copy_tokens,
+            candidates: self.candidate_count,
         };
         (rank, choice)
     }
@@ -179,5 +180,5 @@
     is_failing: bool,
     is_over_bound: bool,
     cost_micros: u64,
-    tie: u64,
+    tie_break: u64,
 }
--- a/crates/core/src/choice/prefix.rs
+++ b/crates/core/src/choice/prefix.rs
@@ -10,55 +10,55 @@
 
 /// Time after its last use for which a part is taken to be held. Engines drop the parts that were
 /// used least recently.
-pub const HELD_FOR: Duration = Duration::from_secs(60);
+pub const RETENTION: Duration = Duration::from_secs(60);
 
 /// Most parts that are remembered.
 const MAX_PARTS: usize = 8_192;
 
 /// Time after which other hosts are told again that an endpoint uses a part.
-const TELL_AGAIN: Duration = Duration::from_secs(8);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(8);
 
 #[derive(Clone, Copy, Debug)]
 struct Holder {
     endpoint: entity::EndpointId,
-    used: time::Time,
+    used_at: time::Time,
     /// When other hosts were last told of it, or told this one.
-    told: Option<time::Time>,
+    announced_at: Option<time::Time>,
 }
 
 /// Parts and the endpoints that read them lately.
 #[derive(Clone, Debug, Default)]
-pub struct Prefixes {
+pub struct PrefixIndex {
     holders: HashMap<u64, SmallVec<[Holder; 3]>>,
 }
 
-impl Prefixes {
+impl PrefixIndex {
     /// Notes that an endpoint reads a prompt. Returns the keys of parts that other hosts should hear of.
-    pub fn note(
+    pub fn record_use(
         &mut self,
         prompt: &prompt::Prompt,
         endpoint: entity::EndpointId,
         now: time::Time,
     ) -> SmallVec<[u64; 4]> {
         let shared = prompt.parts.len().saturating_sub(1);
-        let mut news = SmallVec::new();
+        let mut to_announce = SmallVec::new();
         for (i, part) in prompt.parts.iter().enumerate() {
-            let holder = self.holder(part.key, endpoint, now);
-            holder.used = now;
-            let is_told = |at| now.since(at) < TELL_AGAIN;
-            if i < shared && !holder.told.is_some_and(is_told) {
-                holder.told = Some(now);
-                news.push(part.key);
+            let holder = self.holder_entry(part.key, endpoint, now);
+            holder.used_at = now;
+            let is_recent = |at| now.since(at) < ANNOUNCE_INTERVAL;
+            if i < shared && !holder.announced_at.is_some_and(is_recent) {
+                holder.announced_at = Some(now);
+                to_announce.push(part.key);
             }
         }
-        news
+        to_announce
     }
 
     /// Takes in that another host had an endpoint read a part.
-    pub fn hear(&mut self, key: u64, endpoint: entity::EndpointId, now: time::Time) {
-        let holder = self.holder(key, endpoint, now);
-        holder.used = now;
-        holder.told = Some(now);
+    pub fn record_remote_use(&mut self, key: u64, endpoint: entity::EndpointId, now: time::Time) {
+        let holder = self.holder_entry(key, endpoint, now);
+        holder.used_at = now;
+        holder.announced_at = Some(now);
     }
 
     /// The endpoint among those that are usable that holds most of the start of a prompt, and the
@@ -85,17 +85,22 @@
     }
 
     /// The record of a holder, made if there is none.
-    fn holder(&mut self, key: u64, endpoint: entity::EndpointId, now: time::Time) -> &mut Holder {
+    fn holder_entry(
+        &mut self,
+        key: u64,
+        endpoint: entity::EndpointId,
+        now: time::Time,
+    ) -> &mut Holder {
         if self.holders.len() > MAX_PARTS {
-            self.forget_old(now);
+            self.evict_expired(now);
         }
         let holders = self.holders.entry(key).or_default();
         let known = holders.iter().position(|h| h.endpoint == endpoint);
         let i = known.unwrap_or_else(|| {
             holders.push(Holder {
                 endpoint,
-                used: now,
-                told: None,
+                used_at: now,
+                announced_at: None,
             });
             holders.len() - 1
         });
@@ -119,7 +124,7 @@
     }
 
     /// Forgets what an endpoint holds that is gone.
-    pub fn forget(&mut self, endpoint: entity::EndpointId) {
+    pub fn remove_endpoint(&mut self, endpoint: entity::EndpointId) {
         self.holders.retain(|_, holders| {
             holders.retain(|h| h.endpoint != endpoint);
             !holders.is_empty()
@@ -132,13 +137,13 @@
         };
         holders
             .iter()
-            .any(|h| h.endpoint == endpoint && now.since(h.used) < HELD_FOR)
+            .any(|h| h.endpoint == endpoint && now.since(h.used_at) < RETENTION)
     }
 
     /// Forgets parts that are no longer held, or all if none is that old.
-    fn forget_old(&mut self, now: time::Time) {
+    fn evict_expired(&mut self, now: time::Time) {
         self.holders.retain(|_, holders| {
-            holders.retain(|h| now.since(h.used) < HELD_FOR);
+            holders.retain(|h| now.since(h.used_at) < RETENTION);
             !holders.is_empty()
         });
         if self.holders.len() > MAX_PARTS {
--- a/crates/core/tests/choice.rs
+++ b/crates/core/tests/choice.rs
@@ -1,7 +1,7 @@
 //! Choice of endpoints: cached prompts, the bound on load, and failing endpoints.
 
 use pistachiochute_core::choice::{
-    Caches, Candidate, Choice, Need, choose, cost, load, prefix, prompt,
+    Caches, Candidate, Choice, Request, choose, cost, load, prefix, prompt,
 };
 use pistachiochute_core::{entity, time};
 
@@ -34,15 +34,15 @@
     prompt::Prompt::new(b"m", parts, 11_812, 400)
 }
 
-fn need(prompt: prompt::Prompt, seed: u64) -> Need {
-    Need {
+fn request(prompt: prompt::Prompt, seed: u64) -> Request {
+    Request {
         prompt: Some(prompt),
         seed,
     }
 }
 
-fn pick(need: &Need, candidates: &[Candidate], prefixes: &prefix::Prefixes) -> Choice {
-    let rates = cost::Rates::default();
+fn pick(request: &Request, candidates: &[Candidate], prefixes: &prefix::PrefixIndex) -> Choice {
+    let params = cost::Parameters::default();
     let is_source = |id| {
         let candidate = candidates.iter().find(|c| c.endpoint == id);
         candidate.is_none_or(|c| c.is_healthy)
@@ -52,16 +52,16 @@
         leaving: &[],
         is_source: &is_source,
     };
-    choose(need, candidates, &caches, &rates, NOW).expect("there are candidates")
+    choose(request, candidates, &caches, &params, NOW).expect("there are candidates")
 }
 
 #[test]
 fn a_returning_prompt_goes_where_it_is_cached() {
     let candidates: Vec<_> = (0..18).map(|i| candidate(i, 4)).collect();
-    let mut prefixes = prefix::Prefixes::default();
-    prefixes.note(&contract(b"one"), id(7), NOW);
+    let mut prefixes = prefix::PrefixIndex::default();
+    prefixes.record_use(&contract(b"one"), id(7), NOW);
     for seed in 0..100 {
-        let choice = pick(&need(contract(b"two"), seed), &candidates, &prefixes);
+        let choice = pick(&request(contract(b"two"), seed), &candidates, &prefixes);
         assert_eq!(choice.endpoint, id(7));
         assert_eq!(choice.read_tokens, 1_300);
     }
@@ -72,9 +72,9 @@
 fn a_holder_above_the_bound_gives_its_cache_to_another() {
     let mut candidates: Vec<_> = (0..18).map(|i| candidate(i, 4)).collect();
     candidates[7].load.own.requests = 12;
-    let mut prefixes = prefix::Prefixes::default();
-    prefixes.note(&contract(b"one"), id(7), NOW);
-    let choice = pick(&need(contract(b"two"), 1), &candidates, &prefixes);
+    let mut prefixes = prefix::PrefixIndex::default();
+    prefixes.record_use(&contract(b"one"), id(7), NOW);
+    let choice = pick(&request(contract(b"two"), 1), &candidates, &prefixes);
     assert_ne!(choice.endpoint, id(7));
     assert_eq!(choice.copy_from, Some(id(7)));
     assert_eq!(choice.copy_tokens, 10_512);
@@ -85,9 +85,9 @@
 fn a_failing_holder_gives_nothing() {
     let mut candidates: Vec<_> = (0..18).map(|i| candidate(i, 4)).collect();
     candidates[7].is_healthy = false;
-    let mut prefixes = prefix::Prefixes::default();
-    prefixes.note(&contract(b"one"), id(7), NOW);
-    let choice = pick(&need(contract(b"two"), 1), &candidates, &prefixes);
+    let mut prefixes = prefix::PrefixIndex::default();
+    prefixes.record_use(&contract(b"one"), id(7), NOW);
+    let choice = pick(&request(contract(b"two"), 1), &candidates, &prefixes);
     assert_ne!(choice.endpoint, id(7));
     assert_ne!(choice.copy_from, Some(id(7)));
 }
@@ -96,9 +96,9 @@
 #[test]
 fn a_leaving_holder_is_copied_from() {
     let candidates: Vec<_> = (0..18).map(|i| candidate(i, 4)).collect();
-    let mut prefixes = prefix::Prefixes::default();
-    prefixes.note(&contract(b"one"), id(30), NOW);
-    let choice = pick(&need(contract(b"two"), 1), &candidates, &prefixes);
+    let mut prefixes = prefix::PrefixIndex::default();
+    prefixes.record_use(&contract(b"one"), id(30), NOW);
+    let choice = pick(&request(contract(b"two"), 1), &candidates, &prefixes);
     assert_eq!(choice.copy_from, Some(id(30)));
     assert_eq!(choice.read_tokens, 1_300);
 }
@@ -112,9 +112,9 @@
         // Another host counts its endpoints in another order.
         candidate.endpoint = id(17 - i as u32);
     }
-    let prefixes = prefix::Prefixes::default();
-    let one = pick(&need(contract(b"one"), 1), &on_one, &prefixes);
-    let other = pick(&need(contract(b"two"), 2), &on_other, &prefixes);
+    let prefixes = prefix::PrefixIndex::default();
+    let one = pick(&request(contract(b"one"), 1), &on_one, &prefixes);
+    let other = pick(&request(contract(b"two"), 2), &on_other, &prefixes);
     assert_eq!(id(17 - one.endpoint.as_u32()), other.endpoint);
 }
 
@@ -125,14 +125,14 @@
     let mut candidates: Vec<_> = (0..72).map(|i| candidate(i, 14)).collect();
     candidates.iter_mut().for_each(|c| c.slots = 12);
     candidates[5].load.own.requests = 6;
-    let prefixes = prefix::Prefixes::default();
+    let prefixes = prefix::PrefixIndex::default();
     let mut chosen = [0_u32; 72];
     for seed in 0..300_u64 {
         let id = seed.to_le_bytes();
         let parts: [(&[u8], u32); 2] = [(&id, 600), (b"own", 100)];
         let prompt = prompt::Prompt::new(b"m", parts, 700, 200);
-        let need = need(prompt, seed.wrapping_mul(0x2545_f491_4f6c_dd1d));
-        let choice = pick(&need, &candidates, &prefixes);
+        let request = request(prompt, seed.wrapping_mul(0x2545_f491_4f6c_dd1d));
+        let choice = pick(&request, &candidates, &prefixes);
         chosen[choice.endpoint.as_u32() as usize] += 1;
     }
     let most = chosen.iter().max().expect("endpoints");
@@ -144,10 +144,10 @@
 fn calls_go_to_the_endpoint_with_the_fewest() {
     let mut candidates: Vec<_> = (0..3).map(|i| candidate(i, 0)).collect();
     candidates.iter_mut().for_each(|c| c.slots = 6);
-    let prefixes = prefix::Prefixes::default();
+    let prefixes = prefix::PrefixIndex::default();
     for seed in 0..30 {
-        let need = Need { prompt: None, seed };
-        let choice = pick(&need, &candidates, &prefixes);
+        let request = Request { prompt: None, seed };
+        let choice = pick(&request, &candidates, &prefixes);
         let chosen = candidates
             .iter_mut()
             .find(|c| c.endpoint == choice.endpoint);
@@ -161,13 +161,13 @@
 #[test]
 fn a_holder_of_the_first_part_alone_does_not_replace_the_home() {
     let candidates: Vec<_> = (0..140).map(|i| candidate(i, 1)).collect();
-    let unknown = prefix::Prefixes::default();
-    let home = pick(&need(contract(b"one"), 1), &candidates, &unknown).endpoint;
+    let unknown = prefix::PrefixIndex::default();
+    let home = pick(&request(contract(b"one"), 1), &candidates, &unknown).endpoint;
     let other = id((home.as_u32() + 1) % 140);
     let parts: [(&[u8], u32); 3] = [(b"system", 512), (b"another contract", 9_000), (b"s", 10)];
-    let mut prefixes = prefix::Prefixes::default();
-    prefixes.note(&prompt::Prompt::new(b"m", parts, 9_522, 400), other, NOW);
-    let choice = pick(&need(contract(b"two"), 2), &candidates, &prefixes);
+    let mut prefixes = prefix::PrefixIndex::default();
+    prefixes.record_use(&prompt::Prompt::new(b"m", parts, 9_522, 400), other, NOW);
+    let choice = pick(&request(contract(b"two"), 2), &candidates, &prefixes);
     assert_eq!(choice.endpoint, home);
 }
 
@@ -175,33 +175,40 @@
 /// each request waited for a connection that could not be made.
 #[test]
 fn requests_for_unreachable_endpoints_are_refused_while_one_tries() {
-    let prefixes = prefix::Prefixes::default();
+    let prefixes = prefix::PrefixIndex::default();
     let caches = Caches {
         prefixes: &prefixes,
         leaving: &[],
         is_source: &|_| true,
     };
-    let rates = cost::Rates::default();
-    let need = Need {
+    let params = cost::Parameters::default();
+    let request = Request {
         prompt: None,
         seed: 1,
     };
     let mut only = candidate(1, 0);
     only.is_reachable = false;
-    let first = choose(&need, &[only.clone()], &caches, &rates, NOW);
+    let first = choose(&request, &[only.clone()], &caches, &params, NOW);
     assert!(first.is_some());
     only.load.own.requests = 1;
-    let second = choose(&need, &[only.clone()], &caches, &rates, NOW);
+    let second = choose(&request, &[only.clone()], &caches, &params, NOW);
     assert!(second.is_none());
-    let with_another = choose(&need, &[only, candidate(2, 9)], &caches, &rates, NOW);
+    let with_another = choose(&request, &[only, candidate(2, 9)], &caches, &params, NOW);
     assert!(with_another.is_some());
 }
 
 #[test]
 fn parts_are_told_to_other_hosts_once_in_a_while() {
-    let mut prefixes = prefix::Prefixes::default();
-    assert_eq!(prefixes.note(&contract(b"one"), id(1), NOW).len(), 2);
-    assert!(prefixes.note(&contract(b"two"), id(1), NOW).is_empty());
+    let mut prefixes = prefix::PrefixIndex::default();
+    assert_eq!(prefixes.record_use(&contract(b"one"), id(1), NOW).len(), 2);
+    assert!(
+        prefixes
+            .record_use(&contract(b"two"), id(1), NOW)
+            .is_empty()
+    );
     let later = NOW + std::time::Duration::from_secs(9);
-    assert_eq!(prefixes.note(&contract(b"two"), id(1), later).len(), 2);
+    assert_eq!(
+        prefixes.record_use(&contract(b"two"), id(1), later).len(),
+        2
+    );
 }
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -177,14 +177,14 @@
             .extend(parts.iter().map(|part| (*part, now)));
         if self.cached_parts.len() > MAX_CACHED_PARTS {
             self.cached_parts
-                .retain(|_, at| now.since(*at) < prefix::HELD_FOR / 2);
+                .retain(|_, at| now.since(*at) < prefix::RETENTION / 2);
         }
     }
 
     /// What endpoints hold.
     #[must_use]
     pub fn cached_parts(&self, now: time::Time) -> Vec<peer::CachedPart> {
-        let is_held = |at: &time::Time| now.since(*at) < prefix::HELD_FOR;
+        let is_held = |at: &time::Time| now.since(*at) < prefix::RETENTION;
         let held = self.cached_parts.iter().filter(|(_, at)| is_held(at));
         held.map(|(part, _)| *part).collect()
     }
--- a/crates/gateway/src/traffic/endpoints.rs
+++ b/crates/gateway/src/traffic/endpoints.rs
@@ -64,11 +64,11 @@
     by_service: HashMap<Arc<str>, Vec<entity::EndpointId>>,
     /// Endpoints that leave, by service. They take no requests, but others of their service can
     /// copy from their caches.
-    leaving: HashMap<Arc<str>, Vec<homes::Leaving>>,
+    leaving: HashMap<Arc<str>, Vec<homes::LeavingEndpoint>>,
     budgets: HashMap<Arc<str>, retry::Budget>,
-    prefixes: prefix::Prefixes,
+    prefixes: prefix::PrefixIndex,
     health: health::Health,
-    rates: cost::Rates,
+    rates: cost::Parameters,
     /// Serial of the view that the endpoints were taken from.
     generation: u64,
     next_id: u32,
@@ -85,9 +85,9 @@
             by_service: HashMap::new(),
             leaving: HashMap::new(),
             budgets: HashMap::new(),
-            prefixes: prefix::Prefixes::default(),
+            prefixes: prefix::PrefixIndex::default(),
             health: health::Health::new(HEALTH_SETTINGS, now),
-            rates: cost::Rates::default(),
+            rates: cost::Parameters::default(),
             generation: 0,
             next_id: 0,
         }
@@ -109,7 +109,7 @@
         }
         self.leaving.clear();
         for endpoint in &view.leaving {
-            let leaving = homes::Leaving {
+            let leaving = homes::LeavingEndpoint {
                 endpoint: self.id_for(endpoint),
                 hash: endpoint.identity.hash(),
             };
@@ -125,7 +125,7 @@
     pub(super) fn select(
         &self,
         service: &str,
-        need: &choice::Need,
+        need: &choice::Request,
         others: &load_reports::WorkByEndpoint,
         tried: &[entity::EndpointId],
         now: time::Time,
@@ -162,7 +162,7 @@
     pub(super) fn apply_remote_cached_parts(&mut self, shared: &shared::Shared, now: time::Time) {
         while let Some(part) = shared.remote_cached_parts.pop() {
             if let Some(id) = self.by_hash.get(&part.endpoint) {
-                self.prefixes.hear(part.part, *id, now);
+                self.prefixes.record_remote_use(part.part, *id, now);
             }
         }
     }
@@ -290,7 +290,7 @@
                 self.ids.remove(&entry.endpoint.identity);
                 self.by_hash.remove(&entry.hash);
             }
-            self.prefixes.forget(id);
+            self.prefixes.remove_endpoint(id);
             self.health.remove(id);
         }
     }
@@ -326,7 +326,7 @@
             entry.work.unread_tokens += unread_tokens;
         }
         if let Some(prompt) = prompt {
-            let new_parts = endpoints.prefixes.note(prompt, choice.endpoint, now);
+            let new_parts = endpoints.prefixes.record_use(prompt, choice.endpoint, now);
             let hash = endpoints
                 .entries
                 .get(choice.endpoint)
--- a/crates/gateway/src/traffic/endpoints/tests.rs
+++ b/crates/gateway/src/traffic/endpoints/tests.rs
@@ -39,7 +39,7 @@
         .filter_map(|seed| {
             let id = seed.to_le_bytes();
             let parts: [(&[u8], u32); 2] = [(&id, 5_000), (b"own", 100)];
-            let need = choice::Need {
+            let need = choice::Request {
                 prompt: Some(prompt::Prompt::new(b"m", parts, 5_100, 100)),
                 seed,
             };
--- a/crates/gateway/src/traffic/plan.rs
+++ b/crates/gateway/src/traffic/plan.rs
@@ -32,7 +32,7 @@
     /// Point in time after which the answer is of no use.
     pub deadline: time::Time,
     /// What it needs of an endpoint.
-    pub choice_request: choice::Need,
+    pub choice_request: choice::Request,
 }
 
 impl Plan {
@@ -68,7 +68,7 @@
         account: account.map(|a| a.name.clone()),
         priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
         deadline: arrived + timeout.min(caller_timeout),
-        choice_request: choice::Need {
+        choice_request: choice::Request {
             prompt: metadata.prompt.clone(),
             seed,
         },
