--- a/crates/core/src/queue/fair.rs
+++ b/crates/core/src/queue/fair.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// A place in the order of service.
-struct Place {
+/// A position in the order of service.
+struct Position {
     account: name::AccountName,
     index: usize,
     deadline: time::Time,
@@ -111,9 +111,9 @@
         if self.account_len(&account) >= self.bounds.account_entries {
             return Err(self.refuse(now, entry, reason::Refusal::QueueFull));
         }
-        let place = self.insert(now, entry);
-        if self.start_of(now, &account, place) > self.deadline_of(&account, place) {
-            let entry = self.take(&account, place);
+        let index = self.insert(now, entry);
+        if self.expected_start(now, &account, index) > self.deadline_of(&account, index) {
+            let entry = self.remove_at(&account, index);
             return Err(self.refuse(now, entry, reason::Refusal::Deadline));
         }
         if self.len <= self.bounds.entries {
@@ -121,20 +121,20 @@
         }
         let longest = self.longest_flow(&account);
         if longest == account {
-            let entry = self.take(&account, place);
+            let entry = self.remove_at(&account, index);
             return Err(self.refuse(now, entry, reason::Refusal::QueueFull));
         }
         let last = self.account_len(&longest) - 1;
-        let entry = self.take(&longest, last);
+        let entry = self.remove_at(&longest, last);
         Ok(Some(self.refuse(now, entry, reason::Refusal::QueueFull)))
     }
 
     /// The request to serve next.
     #[must_use]
     pub fn next_item(&self) -> Option<&T> {
-        let place = self.service_order().next()?;
-        let flow = self.flows.get(&place.account)?;
-        flow.entries.get(place.index).map(|entry| &entry.item)
+        let position = self.service_order().next()?;
+        let flow = self.flows.get(&position.account)?;
+        flow.entries.get(position.index).map(|entry| &entry.item)
     }
 
     /// Takes the entry to serve next, after those that can no longer start in time.
@@ -148,18 +148,18 @@
     pub fn expire(&mut self, now: time::Time) -> Vec<Refused<T>> {
         let mut late = Vec::new();
         let mut ahead = units::Tokens::ZERO;
-        for place in self.service_order() {
-            if now + self.rate.time_for(now, ahead) > place.deadline {
-                late.push((place.account, place.index));
+        for position in self.service_order() {
+            if now + self.rate.time_for(now, ahead) > position.deadline {
+                late.push((position.account, position.index));
             } else {
-                ahead += place.cost;
+                ahead += position.cost;
             }
         }
         // Later places first, so that the earlier ones of an account keep their index.
         late.sort_by(|a, b| b.cmp(a));
         let entries: Vec<_> = late
             .iter()
-            .map(|(account, index)| self.take(account, *index))
+            .map(|(account, index)| self.remove_at(account, *index))
             .collect();
         entries
             .into_iter()
@@ -185,7 +185,7 @@
             }
             None => {}
         }
-        self.forget_idle();
+        self.evict_idle();
     }
 
     /// Takes the entries for which `matches` holds, without charging their accounts.
@@ -193,17 +193,17 @@
     where
         F: FnMut(&T) -> bool,
     {
-        let mut places = Vec::new();
+        let mut positions = Vec::new();
         for (account, flow) in &self.flows {
             for (i, entry) in flow.entries.iter().enumerate().rev() {
                 if matches(&entry.item) {
-                    places.push((account.clone(), i));
+                    positions.push((account.clone(), i));
                 }
             }
         }
-        places
+        positions
             .iter()
-            .map(|(account, index)| self.take(account, *index))
+            .map(|(account, index)| self.remove_at(account, *index))
             .collect()
     }
 
@@ -225,7 +225,7 @@
         flow.tag = flow.tag.plus(VirtualTime::span(entry.cost, entry.weight));
         self.len -= 1;
         self.rate.serve(now, entry.cost, self.len > 0);
-        self.forget_idle();
+        self.evict_idle();
         Some(entry)
     }
 
@@ -245,7 +245,7 @@
     }
 
     /// Removes an entry that is known to be queued, without charging its account.
-    fn take(&mut self, account: &name::AccountName, index: usize) -> Entry<T> {
+    fn remove_at(&mut self, account: &name::AccountName, index: usize) -> Entry<T> {
         let entry = self
             .flows
             .get_mut(account)
@@ -255,7 +255,7 @@
         if self.len == 0 {
             self.rate.stop();
         }
-        self.forget_idle();
+        self.evict_idle();
         entry
     }
 
@@ -276,17 +276,22 @@
     }
 
     /// Time at which the entry at a place is expected to start.
-    fn start_of(&self, now: time::Time, account: &name::AccountName, index: usize) -> time::Time {
+    fn expected_start(
+        &self,
+        now: time::Time,
+        account: &name::AccountName,
+        index: usize,
+    ) -> time::Time {
         let ahead = self
             .service_order()
-            .take_while(|place| place.account != *account || place.index != index)
-            .map(|place| place.cost)
+            .take_while(|position| position.account != *account || position.index != index)
+            .map(|position| position.cost)
             .sum();
         now + self.rate.time_for(now, ahead)
     }
 
     /// Places in the order in which they would be served if nothing else arrived.
-    fn service_order(&self) -> impl Iterator<Item = Place> {
+    fn service_order(&self) -> impl Iterator<Item = Position> {
         let mut heads: BinaryHeap<_> = self
             .flows
             .iter()
@@ -301,7 +306,7 @@
                 let next = tag.plus(VirtualTime::span(entry.cost, entry.weight));
                 heads.push(Reverse((next, account, index + 1)));
             }
-            Some(Place {
+            Some(Position {
                 account: account.clone(),
                 index,
                 deadline: entry.deadline,
@@ -311,7 +316,7 @@
     }
 
     /// Forgets accounts without entries whose place no longer differs from a newcomer's.
-    fn forget_idle(&mut self) {
+    fn evict_idle(&mut self) {
         let now = self.virtual_time;
         self.flows
             .retain(|_, flow| !flow.is_empty() || flow.tag > now);
--- a/crates/core/src/queue/flow.rs
+++ b/crates/core/src/queue/flow.rs
@@ -31,18 +31,18 @@
 
     /// Adds an entry behind those of the same priority and returns its place.
     pub(super) fn insert(&mut self, entry: Entry<T>) -> usize {
-        let place = self
+        let index = self
             .entries
             .partition_point(|other| other.priority >= entry.priority);
         self.weight = entry.weight;
         self.cost += entry.cost;
-        self.entries.insert(place, entry);
-        place
+        self.entries.insert(index, entry);
+        index
     }
 
     /// Removes the entry at a place.
-    pub(super) fn remove(&mut self, place: usize) -> Option<Entry<T>> {
-        let entry = self.entries.remove(place)?;
+    pub(super) fn remove(&mut self, index: usize) -> Option<Entry<T>> {
+        let entry = self.entries.remove(index)?;
         self.cost -= entry.cost;
         Some(entry)
     }
--- a/crates/core/src/queue/rate.rs
+++ b/crates/core/src/queue/rate.rs
@@ -15,20 +15,20 @@
     /// Time in the window during which work was queued, in microseconds.
     busy_micros: u64,
     /// Time up to which the window counts, or `None` while nothing is queued.
-    counted: Option<time::Time>,
+    measured_until: Option<time::Time>,
 }
 
 impl DrainRate {
     /// Notes that the queue has work from now on.
     pub(super) fn start(&mut self, now: time::Time) {
-        self.counted.get_or_insert(now);
+        self.measured_until.get_or_insert(now);
     }
 
     /// Notes that work was served, and whether more is queued.
     pub(super) fn serve(&mut self, now: time::Time, work: units::Tokens, more: bool) {
-        self.busy_micros += self.uncounted(now);
+        self.busy_micros += self.unmeasured_micros(now);
         self.served += work;
-        self.counted = more.then_some(now);
+        self.measured_until = more.then_some(now);
         if self.busy_micros > WINDOW_MICROS {
             self.busy_micros /= 2;
             self.served = units::Tokens(self.served.0 / 2);
@@ -37,7 +37,7 @@
 
     /// Notes that the queue was emptied without service.
     pub(super) fn stop(&mut self) {
-        self.counted = None;
+        self.measured_until = None;
     }
 
     /// Expected time to serve the work, or zero while no rate is known.
@@ -45,14 +45,14 @@
         if self.served == units::Tokens::ZERO {
             return Duration::ZERO;
         }
-        let busy = u128::from(self.busy_micros + self.uncounted(now));
+        let busy = u128::from(self.busy_micros + self.unmeasured_micros(now));
         let micros = u128::from(work.0) * busy / u128::from(self.served.0);
         Duration::from_micros(u64::try_from(micros).unwrap_or(u64::MAX))
     }
 
     /// Time with queued work that no service has closed yet, in microseconds.
-    fn uncounted(&self, now: time::Time) -> u64 {
-        self.counted
+    fn unmeasured_micros(&self, now: time::Time) -> u64 {
+        self.measured_until
             .map_or(0, |from| now.since(from).as_micros() as u64)
     }
 }
