--- a/crates/core/src/journal/advance.rs
+++ b/crates/core/src/journal/advance.rs
@@ -1,4 +1,4 @@
-//! What a host does at one shard once something has changed: answers, dispatches, the next call.
+//! Progress of one shard after an event: answers attempts, dispatches them and makes the next call.
 
 use crate::journal::machine::{EventTime, refuse};
 use crate::journal::shard_state::{Call, Disposition, decide, reservation};
@@ -9,7 +9,8 @@
 use crate::{outcome, reason};
 
 impl Journal {
-    /// Does what can be done at a shard: answers, dispatches and the next call.
+    /// Answers and dispatches the attempts of a shard that can be decided now, and makes the next
+    /// call if one is due.
     pub(super) fn advance(&mut self, shard: ShardId, at: EventTime, effects: &mut Effects) {
         self.refuse_expired(shard, at, effects);
         let Some(state) = self.shards.get(&shard) else {
@@ -27,10 +28,10 @@
         }
     }
 
-    /// Answers the attempts that must not be dispatched any more.
+    /// Refuses the attempts that are too old to be dispatched.
     ///
-    /// This is the check that follows a confirmation. If the shard of an earlier run of the key
-    /// was deleted before the reservation took effect, the key is refused here.
+    /// This check also follows the confirmation of a reservation: a key whose earlier run was in a
+    /// shard that was deleted before the reservation took effect is refused here.
     fn refuse_expired(&mut self, shard: ShardId, at: EventTime, effects: &mut Effects) {
         let due = at.now + self.cfg.outcome_linger();
         let window = self.cfg.window;
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Reads a shard whose content is not cached, at once if an attempt waits for it.
+    /// Reads a shard whose content is not cached if an attempt waits for it or an outcome is due.
     fn read_when_due(&mut self, shard: ShardId, at: EventTime, effects: &mut Effects) {
         let state = self.shards.entry(shard).or_default();
         let record_due = state.outbox.due().is_some_and(|due| due <= at.now);
@@ -57,8 +58,9 @@
         }
     }
 
-    /// Answers and dispatches what the content of the shard decides, and returns the content with
-    /// the reservations of the next swap, or `None` if the shard has to be read first.
+    /// Answers or dispatches the waiting attempts that the cached content decides. Returns the
+    /// content of the next swap and the attempts that it reserves, or `None` if the shard has to be
+    /// read first.
     fn resolve_waiting(
         &mut self,
         shard: ShardId,
@@ -121,7 +123,7 @@
         });
     }
 
-    /// Changes the shard if there is something to write and the pace of its slot allows it.
+    /// Swaps the shard if there is something to write and the swap interval of its slot has passed.
     fn swap_when_due(
         &mut self,
         shard: ShardId,
@@ -167,7 +169,8 @@
     }
 }
 
-/// Why an attempt is too old to be dispatched, and what is known of its action.
+/// Reason for which an attempt is too old to be dispatched, with the outcome to report. `None` if
+/// it may be dispatched.
 fn check_age(
     window: &Window,
     begin: &NewAttempt,
--- a/crates/core/src/journal/config.rs
+++ b/crates/core/src/journal/config.rs
@@ -5,17 +5,17 @@
 use crate::journal::{ActionKey, ShardId, UnixMillis};
 use crate::reason;
 
-/// How long keys are accepted and records are kept.
+/// Window of time in which keys are accepted and records are retained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Window {
-    /// Age up to which a key is accepted, in milliseconds.
+    /// Maximum age of an accepted key, in milliseconds.
     pub retention_ms: u64,
-    /// How far a key's time may lie ahead of the host's clock, in milliseconds.
+    /// Maximum time by which a key may lie ahead of the host's clock, in milliseconds.
     pub ahead_ms: u64,
-    /// Most that the clock of any host is wrong by, in milliseconds.
+    /// Maximum error of the clock of any host, in milliseconds.
     pub skew_ms: u64,
-    /// Span of the key times that one shard holds, in milliseconds.
+    /// Range of key times that one shard covers, in milliseconds.
     pub segment_ms: u64,
 }
 
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`reason::Refusal::KeyExpired`] for a key that is too old and
+    /// Returns [`reason::Refusal::KeyExpired`] for a key that is too old, and
     /// [`reason::Refusal::KeyAhead`] for one that lies too far ahead.
     pub fn check(&self, key: &ActionKey, clock: UnixMillis) -> Result<(), reason::Refusal> {
         if clock > key.issued_at.plus(self.retention_ms) {
@@ -47,10 +47,10 @@
         Ok(())
     }
 
-    /// First segment that has to be kept.
+    /// First segment that has to be retained.
     ///
-    /// Every key of an earlier segment is refused by every host, even if this clock is ahead and
-    /// the other one behind by the whole skew.
+    /// Every host refuses every key of an earlier segment, even if this host's clock is ahead and
+    /// the other host's clock is behind by the full skew.
     #[must_use]
     pub const fn first_retained_segment(&self, clock: UnixMillis) -> u64 {
         let refused_everywhere = self.retention_ms + 2 * self.skew_ms;
@@ -68,20 +68,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
-    /// How long keys are accepted and records are kept.
+    /// Window of time in which keys are accepted and records are retained.
     pub window: Window,
-    /// Number of shards that the keys of one segment are spread over.
+    /// Number of shards over which the keys of one segment are distributed.
     pub slots: u16,
-    /// Shortest time between two swaps of one slot, in milliseconds. With `slots` it bounds the
-    /// writes a second, whatever the rate of actions is.
+    /// Minimum interval between two swaps of one slot, in milliseconds. Together with `slots` it
+    /// bounds the writes per second at any rate of actions.
     pub swap_interval_ms: u64,
-    /// Longest time that an outcome waits for a reservation to share its swap, in milliseconds.
+    /// Longest time for which an outcome waits for a reservation with which to share a swap, in
+    /// milliseconds.
     pub outcome_linger_ms: u64,
-    /// Most attempts that wait for one shard.
+    /// Maximum number of attempts that wait for one shard.
     pub max_waiting: usize,
-    /// Most attempts that the host has reserved or dispatched and not yet recorded.
+    /// Maximum number of attempts that wait, run or have an outcome that is not recorded yet.
     pub max_running: usize,
-    /// Most shards whose content is held in memory while nothing waits for them.
+    /// Maximum number of idle shards whose content is cached.
     pub max_cached: usize,
 }
 
@@ -110,13 +111,13 @@
         }
     }
 
-    /// Shortest time between two swaps of one slot.
+    /// Minimum interval between two swaps of one slot.
     #[must_use]
     pub const fn swap_interval(&self) -> Duration {
         Duration::from_millis(self.swap_interval_ms)
     }
 
-    /// Longest time that an outcome waits for a reservation to share its swap.
+    /// Longest time for which an outcome waits for a reservation with which to share a swap.
     #[must_use]
     pub const fn outcome_linger(&self) -> Duration {
         Duration::from_millis(self.outcome_linger_ms)
--- a/crates/core/src/journal/event.rs
+++ b/crates/core/src/journal/event.rs
@@ -10,27 +10,28 @@
 };
 use crate::{outcome, reason};
 
-/// Number of a call to the key-value service, so that a late answer is not taken for another's.
+/// Id of a call to the key-value service. It keeps a late answer from being matched with another
+/// call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
 /// How a dispatched attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptResult {
-    /// It was proved not to have run.
+    /// It provably did not run.
     NotRun,
-    /// Its fate is not known.
+    /// It may have run.
     Unknown,
     /// It ran.
     Run(RecordedAnswer),
 }
 
-/// What happened.
+/// Input of the journal's state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A caller asks for an action.
     Begin(NewAttempt),
-    /// The caller of an attempt went away, or its request was given up.
+    /// The caller of an attempt disconnected, or its request was given up.
     Cancel(AttemptId),
     /// A dispatched attempt ended.
     Finished {
@@ -39,81 +40,82 @@
         /// How it ended.
         result: AttemptResult,
     },
-    /// A read was answered.
+    /// A read succeeded.
     Loaded {
-        /// The read.
+        /// Id of the read.
         call: CallId,
         /// Content of the shard.
         stored: StoredShard,
     },
-    /// A read was not answered.
+    /// A read failed or was not answered.
     ReadFailed(CallId),
     /// A swap took effect.
     Swapped {
-        /// The swap.
+        /// Id of the swap.
         call: CallId,
-        /// Revision of the change.
+        /// Revision of the shard after the swap.
         revision: ModRevision,
     },
     /// A swap was refused because the shard had changed.
     Conflict {
-        /// The swap.
+        /// Id of the swap.
         call: CallId,
         /// Content of the shard.
         stored: StoredShard,
     },
-    /// A swap surely never takes effect: it was not sent, or the service refused it.
+    /// A swap will never take effect: it was not sent, or the service refused it.
     SwapFailed(CallId),
-    /// The answer to a swap was lost: it may have taken effect, or may do so later.
+    /// The answer to a swap was lost. The swap may have taken effect, or may do so later.
     SwapUnknown(CallId),
     /// Time passed.
     Tick,
 }
 
-/// What a caller is told instead of the endpoint's answer to its own attempt.
+/// Answer for a caller whose own attempt is not dispatched.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
-    /// The action ran earlier with this answer, whose body was kept.
+    /// The action ran earlier with this answer, whose body was recorded.
     Recorded(RecordedAnswer),
     /// The attempt is refused.
     Refused {
-        /// Why.
+        /// Why it is refused.
         reason: reason::Refusal,
-        /// Whether the action ran, as far as this attempt can tell.
+        /// Whether the action ran, as far as the journal knows.
         outcome: outcome::Outcome,
-        /// Delay after which asking again may help.
+        /// Delay after which a retry may help.
         retry_after: Option<Duration>,
     },
 }
 
-/// What to do.
+/// Output of the journal's state machine, to be carried out by the runtime.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Read a shard.
     Read {
-        /// Number to answer with.
+        /// Id to use in the event that answers the call.
         call: CallId,
         /// The shard.
         shard: ShardId,
     },
-    /// Change a shard if it still is at the expected revision, else read it, in one transaction.
+    /// Replace the content of a shard if it is still at the expected revision, else read it, in one
+    /// transaction.
     Swap {
-        /// Number to answer with.
+        /// Id to use in the event that answers the call.
         call: CallId,
         /// The shard.
         shard: ShardId,
-        /// Revision that the shard has to be at.
+        /// Expected revision of the shard.
         expected: ModRevision,
         /// The new content.
         content: Shard,
     },
-    /// Dispatch an attempt, once. Its end has to be reported.
+    /// Dispatch an attempt, once. Its result has to be reported by [`Event::Finished`].
     Dispatch {
         /// The attempt.
         attempt: AttemptId,
         /// Key of the action.
         key: ActionKey,
-        /// Time after which it must not be dispatched, to be checked just before.
+        /// Time after which it must not be dispatched. To be checked immediately before dispatch.
         not_after: UnixMillis,
     },
     /// Answer the caller of an attempt. The attempt is never dispatched after this.
--- a/crates/core/src/journal/key.rs
+++ b/crates/core/src/journal/key.rs
@@ -10,8 +10,8 @@
 
 /// Wall-clock time in milliseconds since the Unix epoch.
 ///
-/// Used only for the age of keys, which come from callers; hosts agree on it up to the skew that
-/// [`super::Window`] allows for.
+/// Used only for the age of keys, which come from callers, and for dispatch deadlines. The clocks
+/// of the hosts agree up to the skew that [`super::Window`] allows for.
 #[derive(
     Clone,
     Copy,
@@ -29,7 +29,7 @@
 pub struct UnixMillis(pub u64);
 
 impl UnixMillis {
-    /// The time that lies `ms` milliseconds later.
+    /// The time `ms` milliseconds later.
     #[must_use]
     pub const fn plus(self, ms: u64) -> Self {
         Self(self.0.saturating_add(ms))
@@ -71,15 +71,16 @@
     KeyHash
 }
 hash! {
-    /// Hash of what the action asks for: path and body.
+    /// Hash of the content of the action's request: path and body.
     Fingerprint
 }
 hash! {
-    /// Id of one attempt to run an action, never used again.
+    /// Id of one attempt to run an action. Never reused.
     AttemptId
 }
 
-/// Hashes parts so that moving a byte from one part to the next changes the hash.
+/// Hashes the parts with their lengths, so that moving a byte from one part to the next changes the
+/// hash.
 fn hash_parts(parts: [&[u8]; 2]) -> [u8; HASH_LEN] {
     let mut hasher = sha2::Sha256::new();
     for part in parts {
@@ -93,7 +94,7 @@
 }
 
 impl Fingerprint {
-    /// Hashes the path and query at the endpoint and the body.
+    /// Hashes the body and the path with the query, as the endpoint receives them.
     #[must_use]
     pub fn of(path: &[u8], body: &[u8]) -> Self {
         Self(hash_parts([path, body]))
@@ -108,7 +109,7 @@
     }
 }
 
-/// A key that is not a UUIDv7.
+/// Error for an idempotency key that is not a UUIDv7.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ParseKeyError;
 
@@ -120,17 +121,17 @@
 
 impl std::error::Error for ParseKeyError {}
 
-/// Idempotency key of an action as the journal uses it.
+/// Idempotency key of an action in the form that the journal uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ActionKey {
-    /// Hash that finds the record.
+    /// Hash under which the action is recorded.
     pub hash: KeyHash,
-    /// Time in the key, by the clock of the caller.
+    /// Time at which the key was issued, by the clock of the caller.
     pub issued_at: UnixMillis,
 }
 
 impl ActionKey {
-    /// Takes the key of a caller.
+    /// Converts the key that a caller sent.
     ///
     /// # Errors
     ///
--- a/crates/core/src/journal/machine.rs
+++ b/crates/core/src/journal/machine.rs
@@ -1,4 +1,4 @@
-//! The machine of the journal on one host.
+//! State machine of the journal on one host.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,37 +10,37 @@
 };
 use crate::{outcome, reason, time};
 
-/// Delay after which a caller may try again when the journal cannot take its action.
+/// Delay after which a caller may retry an action that the journal cannot accept at present.
 const BUSY_DELAY: Duration = Duration::from_secs(1);
 
-/// A caller's request for an action.
+/// A new attempt at an action, on behalf of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct NewAttempt {
     /// New id of the attempt.
     pub attempt: AttemptId,
     /// Key of the action.
     pub key: ActionKey,
-    /// Hash of what the action asks for.
+    /// Hash of the content of the action's request.
     pub fingerprint: Fingerprint,
     /// Time after which the attempt must not be dispatched.
     pub not_after: UnixMillis,
 }
 
-/// The journal as one host works with it.
+/// State of the journal on one host.
 #[derive(Clone, Debug, Hash)]
 pub struct Journal {
     pub(super) cfg: Config,
     pub(super) shards: BTreeMap<ShardId, ShardState>,
-    /// Dispatched attempts whose end was not reported yet.
+    /// Dispatched attempts whose result was not reported yet.
     pub(super) dispatched: BTreeMap<AttemptId, ActionKey>,
-    /// Shard of each call under way.
+    /// Shard of each call in progress.
     pub(super) calls: BTreeMap<CallId, ShardId>,
     pub(super) next_call: CallId,
-    /// Earliest next swap of each slot.
+    /// Earliest time of the next swap of each slot.
     pub(super) next_swap: BTreeMap<u16, time::Time>,
 }
 
-/// Time of an event on the two clocks of the host.
+/// Time of an event on the two clocks of the host: `now` is monotonic, `clock` is wall-clock time.
 #[derive(Clone, Copy)]
 pub(super) struct EventTime {
     pub(super) now: time::Time,
@@ -48,7 +48,7 @@
 }
 
 impl Journal {
-    /// Makes a journal without state.
+    /// Creates an empty journal.
     #[must_use]
     pub const fn new(cfg: Config) -> Self {
         Self {
@@ -61,10 +61,10 @@
         }
     }
 
-    /// Takes an event.
+    /// Handles an event and returns the effects to carry out.
     ///
-    /// `clock` has to be read after the event happened: the check of the retention window before a
-    /// dispatch depends on it.
+    /// `clock` has to be read after the event occurred, since the check of the retention window
+    /// before a dispatch depends on it.
     pub fn handle(&mut self, event: Event, now: time::Time, clock: UnixMillis) -> Effects {
         let at = EventTime { now, clock };
         let mut effects = Effects::new();
@@ -83,8 +83,8 @@
         effects
     }
 
-    /// When the next [`Event::Tick`] is needed at the latest, apart from one a second while
-    /// anything waits.
+    /// Time at which the next [`Event::Tick`] is due. While anything waits, a tick every second is
+    /// needed as well.
     #[must_use]
     pub fn wakeup(&self) -> Option<time::Time> {
         let due = |(shard, state): (&ShardId, &ShardState)| {
@@ -97,19 +97,19 @@
         self.shards.iter().filter_map(due).min()
     }
 
-    /// Whether nothing waits, runs or has to be recorded.
+    /// Whether no attempt waits or runs and no outcome has to be recorded.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.dispatched.is_empty() && self.shards.values().all(ShardState::is_idle)
     }
 
-    /// First segment that has to be kept. The shards of earlier ones may be deleted.
+    /// First segment that has to be retained. Shards of earlier segments may be deleted.
     #[must_use]
     pub const fn first_retained_segment(&self, clock: UnixMillis) -> u64 {
         self.cfg.window.first_retained_segment(clock)
     }
 
-    /// Attempts that wait, run or have to be recorded.
+    /// Number of attempts that wait, run or have an outcome that is not recorded yet.
     #[must_use]
     pub fn open_attempts(&self) -> usize {
         let in_shard = |state: &ShardState| state.waiting.len() + state.outbox.len();
@@ -172,7 +172,7 @@
             AttemptResult::Run(recorded) => State::Run(recorded),
         };
         let shard = self.cfg.shard(&key);
-        // A caller that was told "not run" may come back at once.
+        // A caller that got "not run" may retry at once, so the outcome is written without delay.
         let due = match state {
             State::NotRun => at.now,
             _ => at.now + self.cfg.outcome_linger(),
@@ -182,7 +182,8 @@
         self.advance(shard, at, effects);
     }
 
-    /// Takes a call off the calls under way. A late answer to a call that was given up finds none.
+    /// Removes a call from the calls in progress. Returns `None` for a late answer to a call that
+    /// was given up.
     fn take_call(&mut self, call: CallId) -> Option<(ShardId, Call)> {
         let shard = self.calls.remove(&call)?;
         let (_, call) = self.shards.get_mut(&shard)?.call.take()?;
@@ -232,7 +233,7 @@
         self.advance(shard, at, effects);
     }
 
-    /// Reads the shard back after the answer to a swap was lost.
+    /// Handles the loss of the answer to a swap: the shard has to be read back.
     fn swap_unknown(&mut self, call: CallId, at: EventTime, effects: &mut Effects) {
         let Some((shard, Call::Swap { batch, .. })) = self.take_call(call) else {
             return;
@@ -243,7 +244,7 @@
         self.advance(shard, at, effects);
     }
 
-    /// Refuses everything that waits for the shard, because the service cannot be reached.
+    /// Refuses every attempt that waits for the shard, because the service cannot be reached.
     fn store_failed(&mut self, call: CallId, at: EventTime, effects: &mut Effects) {
         let Some((shard, _)) = self.take_call(call) else {
             return;
@@ -272,7 +273,7 @@
         self.evict();
     }
 
-    /// Drops the content of the oldest shards that nothing waits for.
+    /// Evicts the oldest idle shards beyond the limit on cached shards.
     fn evict(&mut self) {
         let idle = |state: &ShardState| state.is_idle();
         let cached = self.shards.values().filter(|state| idle(state)).count();
--- a/crates/core/src/journal/mod.rs
+++ b/crates/core/src/journal/mod.rs
@@ -1,20 +1,21 @@
-//! Journal of actions: calls that are not idempotent run at most once per key.
+//! Journal of actions: runs calls that are not idempotent at most once per idempotency key.
 //!
-//! Before an action is dispatched, its attempt is reserved in a record of the key-value service.
-//! Records are kept in shards. A shard is one value, found by the hash of the key and by the time
-//! in the key, and is changed only by a compare-and-swap on its revision. One swap reserves every
-//! attempt that waits for the shard and records the outcomes of those that have ended.
+//! Before an action is dispatched, its attempt is reserved in a record in the key-value service.
+//! Records are grouped into shards. A shard is one value, selected by the hash of the key and the
+//! time in the key, and is changed only by a compare-and-swap on its revision. One swap reserves
+//! every attempt that waits for the shard and records the outcomes of those that have ended.
 //!
-//! Only the attempt whose reservation is confirmed is dispatched, once. A reservation is confirmed
-//! by the answer to its swap, or, if that answer was lost, by finding the attempt's id when the
-//! shard is read back. At most one attempt can be in the record of a key, so it does not matter
-//! how many hosts believe that they own an endpoint, whether a host was paused after its swap, or
-//! when a delayed swap takes effect. No lease is needed, and endpoints need not check one.
+//! An attempt is dispatched once, and only after its reservation is confirmed. A reservation is
+//! confirmed by the answer to its swap or, if that answer was lost, by finding the attempt's id
+//! when the shard is read back. The record of a key holds at most one attempt. Safety therefore
+//! does not depend on how many hosts believe that they own an endpoint, on whether a host was
+//! paused after its swap, or on when a delayed swap takes effect. No lease is needed, and endpoints
+//! need not check one.
 //!
-//! Keys carry their time (UUIDv7). A key older than the retention window is refused, and a shard
-//! is deleted only when every host refuses its keys, clock skew included. The window is checked
-//! again after the reservation is confirmed, so a host that was paused across the deletion of a
-//! shard does not run an action again.
+//! Keys carry their time of issue (UUIDv7). A key older than the retention window is refused, and a
+//! shard is deleted only once every host refuses its keys, allowing for clock skew. The window is
+//! checked again after the reservation is confirmed, so that a host that was paused while a shard
+//! was deleted does not run an action again.
 
 mod advance;
 mod config;
--- a/crates/core/src/journal/outbox.rs
+++ b/crates/core/src/journal/outbox.rs
@@ -1,9 +1,9 @@
-//! Outcomes that wait to be recorded in their shard.
+//! Outcomes that are still to be recorded in their shard.
 
 use crate::journal::{AttemptId, KeyHash, Shard, State};
 use crate::time;
 
-/// Outcome of an attempt that is not in its record yet.
+/// Outcome of an attempt that its record does not contain yet.
 #[derive(Clone, Debug, Hash)]
 struct PendingOutcome {
     key: KeyHash,
@@ -11,11 +11,11 @@
     state: State,
 }
 
-/// Outcomes that wait to be recorded.
+/// Outcomes of one shard that are still to be recorded.
 #[derive(Clone, Debug, Default, Hash)]
 pub(super) struct Outbox {
     outcomes: Vec<PendingOutcome>,
-    /// When the most urgent outcome is written even if no reservation shares its swap.
+    /// Time at which the most urgent outcome is written even if no reservation shares its swap.
     due: time::Time,
 }
 
@@ -36,7 +36,7 @@
         self.outcomes.len()
     }
 
-    /// When the outcomes are written at the latest, if there are any.
+    /// Latest time at which the outcomes are written, or `None` if there are none.
     pub(super) fn due(&self) -> Option<time::Time> {
         (!self.outcomes.is_empty()).then_some(self.due)
     }
@@ -45,8 +45,8 @@
         self.due = due;
     }
 
-    /// Drops the outcomes whose reservation is not in the shard: it never took effect, or the
-    /// outcome is in the record already.
+    /// Drops the outcomes whose reservation is not in the shard: either the reservation never took
+    /// effect, or the outcome is already recorded.
     pub(super) fn retain_reserved(&mut self, shard: &Shard) {
         self.outcomes
             .retain(|outcome| is_reserved_by(shard, &outcome.key, outcome.attempt));
--- a/crates/core/src/journal/record.rs
+++ b/crates/core/src/journal/record.rs
@@ -5,10 +5,10 @@
 
 use crate::journal::{AttemptId, Fingerprint, UnixMillis};
 
-/// Longest body that is kept with an outcome, in bytes.
+/// Longest body that is recorded with an outcome, in bytes.
 pub const MAX_RECORDED_BODY_BYTES: usize = 512;
 
-/// Longest content type that is kept with an outcome, in bytes.
+/// Longest content type that is recorded with an outcome, in bytes.
 pub const MAX_RECORDED_CONTENT_TYPE_BYTES: usize = 64;
 
 const DIGEST_LEN: usize = 32;
@@ -20,9 +20,9 @@
     pub status: u16,
     /// SHA-256 digest of the body.
     pub digest: [u8; DIGEST_LEN],
-    /// Content type of the body. Empty if the body was not kept.
+    /// Content type of the body. Empty if the body was not recorded.
     pub content_type: Bytes,
-    /// The body, or `None` if it was too long to be kept.
+    /// The body, or `None` if it was too long to be recorded.
     pub body: Option<Bytes>,
 }
 
@@ -44,13 +44,13 @@
         }
     }
 
-    /// Leaves out the body.
+    /// Removes the body and its content type.
     pub(super) fn drop_body(&mut self) {
         self.body = None;
         self.content_type = Bytes::new();
     }
 
-    /// Bytes that the body and its type take up.
+    /// Size of the body and its content type, in bytes.
     pub(super) fn body_len(&self) -> usize {
         self.content_type.len() + self.body.as_ref().map_or(0, Bytes::len)
     }
@@ -60,15 +60,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// The attempt may be dispatched, or has been, by the host that reserved it.
+    /// The host that reserved the attempt may dispatch it or has dispatched it.
     Reserved {
-        /// Time after which the attempt is not dispatched any more.
+        /// Time after which the attempt must not be dispatched.
         #[serde(rename = "until")]
         not_after: UnixMillis,
     },
-    /// The attempt was proved not to have run. Another attempt may take its place.
+    /// The attempt provably did not run. Another attempt may replace it.
     NotRun,
-    /// The attempt was dispatched and its fate is not known.
+    /// The attempt was dispatched and may have run.
     Unknown,
     /// The attempt ran.
     Run(RecordedAnswer),
@@ -76,11 +76,11 @@
 
 /// Record of one action.
 ///
-/// Invariants: while the attempt is not proved not to have run, the record keeps its attempt; only
-/// the host that reserved the attempt changes its state.
+/// Invariants: unless the attempt provably did not run, it is never replaced by another one, and
+/// only the host that reserved the attempt changes its state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Record {
-    /// Hash of what the action asks for.
+    /// Hash of the content of the action's request.
     pub fingerprint: Fingerprint,
     /// The only attempt that may be dispatched.
     pub attempt: AttemptId,
--- a/crates/core/src/journal/shard.rs
+++ b/crates/core/src/journal/shard.rs
@@ -1,4 +1,4 @@
-//! Content of one shard and its encoding as a value of the key-value service.
+//! Content of one shard and its encoding as a value in the key-value service.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,11 +8,11 @@
 
 use crate::journal::{KeyHash, Record, State};
 
-/// Bytes that a record takes up at most, its kept body aside.
+/// Upper bound of the encoded size of a record without its body, in bytes.
 pub const RECORD_OVERHEAD_BYTES: usize = 128;
 
-/// Most bytes that the records of a shard take up. A quarter of the value size that the
-/// key-value service takes.
+/// Upper bound of the encoded size of a shard, in bytes. A quarter of the largest value that the
+/// key-value service accepts.
 pub const MAX_SHARD_BYTES: usize = 256 * 1024;
 
 /// Id of a shard: the segment of key times and the slot of key hashes.
@@ -25,13 +25,13 @@
 }
 
 impl fmt::Display for ShardId {
-    /// Writes the segment in fixed width, so that the order of the texts is that of the ids.
+    /// Writes segment and slot in fixed width, so that the texts sort in the order of the ids.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}-{:04x}", self.segment, self.slot)
     }
 }
 
-/// A text that is not the id of a shard.
+/// Error for a text that is not the id of a shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseShardIdError(pub String);
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// Content of a shard as the key-value service holds it.
+/// Content and revision of a shard in the key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct StoredShard {
     /// Revision of the last change.
@@ -86,7 +86,7 @@
     pub shard: Shard,
 }
 
-/// A value of the key-value service that is not a shard.
+/// Error for a value that is not a shard, or for a shard that is too large to be encoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DecodeShardError(pub String);
 
@@ -128,13 +128,13 @@
         self.records.is_empty()
     }
 
-    /// Bytes that the records take up at most.
+    /// Upper bound of the encoded size of the records, in bytes.
     #[must_use]
     pub fn max_encoded_len(&self) -> usize {
         self.records.values().map(max_record_len).sum()
     }
 
-    /// Whether a reservation with the given key fits.
+    /// Whether the shard has room for a reservation with the given key.
     #[must_use]
     pub fn has_room(&self, key: &KeyHash) -> bool {
         self.records.contains_key(key)
@@ -146,7 +146,7 @@
         self.records.insert(key, record);
     }
 
-    /// Ends a reservation. Leaves out the answer's body if it does not fit.
+    /// Replaces a reservation by its outcome. Drops the body of the answer if it does not fit.
     pub(super) fn end(&mut self, key: &KeyHash, mut state: State) {
         if let State::Run(recorded) = &mut state
             && self.max_encoded_len() + recorded.body_len() > MAX_SHARD_BYTES
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Encodes the records as a value.
+    /// Encodes the records as a value for the key-value service.
     ///
     /// # Errors
     ///
@@ -169,11 +169,11 @@
             .map_err(|e| DecodeShardError(e.to_string()))
     }
 
-    /// Decodes the records of a value.
+    /// Decodes the records from a value of the key-value service.
     ///
     /// # Errors
     ///
-    /// Returns an error if the value is not exactly the records of one shard.
+    /// Returns an error if the value is not exactly the encoding of one shard.
     pub fn decode(value: &[u8]) -> Result<Self, DecodeShardError> {
         let (shard, used) = bincode::serde::decode_from_slice(value, encoding())
             .map_err(|e| DecodeShardError(e.to_string()))?;
--- a/crates/core/src/journal/shard_state.rs
+++ b/crates/core/src/journal/shard_state.rs
@@ -1,4 +1,4 @@
-//! Work of one host at one shard.
+//! State of one shard on one host: cached content, waiting attempts and pending outcomes.
 
 use std::time::Duration;
 
@@ -9,25 +9,25 @@
 };
 use crate::{outcome, reason, time};
 
-/// Delay after which a caller may ask again for an action that is in progress.
+/// Delay after which a caller may retry an action that is in progress.
 const IN_PROGRESS_DELAY: Duration = Duration::from_secs(1);
 
 /// An attempt that waits for its reservation.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct WaitingAttempt {
     pub(super) begin: NewAttempt,
-    /// Whether the shard was read since the attempt came.
+    /// Whether the shard was read since the attempt arrived.
     pub(super) read_since_arrival: bool,
-    /// Whether a swap that reserves the attempt may take effect without being confirmed.
+    /// Whether a swap that reserves the attempt may take effect without a confirmation.
     pub(super) swap_unresolved: bool,
 }
 
-/// Call to the key-value service that is under way.
+/// Call to the key-value service that is in progress.
 #[derive(Clone, Debug, Hash)]
 pub(super) enum Call {
-    /// The shard is read.
+    /// A read of the shard.
     Read,
-    /// The shard is changed.
+    /// A compare-and-swap of the shard.
     Swap {
         /// The new content.
         content: Shard,
@@ -36,14 +36,14 @@
     },
 }
 
-/// What becomes of a waiting attempt.
+/// Decision on a waiting attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Disposition {
     /// Its reservation is in the shard.
     Confirmed,
-    /// It is reserved by the next swap.
+    /// The next swap reserves it.
     Reserve,
-    /// Another attempt of the key is reserved by the next swap.
+    /// It waits, because the next swap reserves another attempt of the same key.
     Defer,
     /// The shard has to be read first.
     ReadFirst,
@@ -51,30 +51,31 @@
     Answer(Answer),
 }
 
-/// Work of one host at one shard.
+/// State of one shard on one host.
 #[derive(Clone, Debug, Default, Hash)]
 pub(super) struct ShardState {
-    /// Content that the shard had when it was last read or changed by this host.
+    /// Content of the shard when this host last read or changed it.
     pub(super) cached: Option<StoredShard>,
-    /// Attempts that wait, in the order in which they came.
+    /// Waiting attempts, in order of arrival.
     pub(super) waiting: Vec<WaitingAttempt>,
     pub(super) outbox: Outbox,
-    /// Call under way. Invariant: at most one, so that swaps of one host never compete.
+    /// Call in progress. Invariant: at most one, so that swaps of the same host never conflict.
     pub(super) call: Option<(CallId, Call)>,
 }
 
 impl ShardState {
-    /// Whether nothing waits and no call is under way.
+    /// Whether nothing waits and no call is in progress.
     pub(super) fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.outbox.len() == 0 && self.call.is_none()
     }
 
-    /// Whether a caller or a call waits for the shard.
+    /// Whether an attempt waits for the shard or a call is in progress.
     pub(super) fn is_awaited(&self) -> bool {
         !self.waiting.is_empty() || self.call.is_some()
     }
 
-    /// Takes the content that the shard had after everything that waits had come.
+    /// Caches the content of the shard after a read or a swap. It counts as read since the arrival
+    /// of every attempt that waits now.
     pub(super) fn update_cached(&mut self, stored: StoredShard) {
         for waiting in &mut self.waiting {
             waiting.read_since_arrival = true;
@@ -83,21 +84,22 @@
         self.cached = Some(stored);
     }
 
-    /// Marks the attempts of a swap that may take effect without being confirmed.
+    /// Marks the attempts of a swap that may take effect without a confirmation.
     pub(super) fn mark_swap_unresolved(&mut self, batch: &[AttemptId]) {
         for waiting in &mut self.waiting {
             waiting.swap_unresolved |= batch.contains(&waiting.begin.attempt);
         }
     }
 
-    /// Records that no earlier swap can take effect any more.
+    /// Records that no earlier swap can take effect any longer, since the shard has moved past the
+    /// revision that it expected.
     pub(super) fn clear_swap_unresolved(&mut self) {
         for waiting in &mut self.waiting {
             waiting.swap_unresolved = false;
         }
     }
 
-    /// Whether the reservation of a waiting attempt may be in the shard or get into it.
+    /// Whether the shard contains the reservation of a waiting attempt, or may come to contain it.
     pub(super) fn may_be_reserved(&self, waiting: &WaitingAttempt) -> bool {
         let NewAttempt { attempt, key, .. } = waiting.begin;
         let record = self
@@ -112,8 +114,8 @@
         waiting.swap_unresolved || in_shard || in_swap
     }
 
-    /// Gives up a waiting attempt. If its reservation may be in the shard, the record is ended as
-    /// not run, which is true because the attempt is never dispatched.
+    /// Gives up a waiting attempt. If its reservation may be in the shard, the outcome "not run" is
+    /// queued for the record. This is correct because the attempt is never dispatched.
     pub(super) fn abandon(&mut self, waiting: &WaitingAttempt, due: time::Time) {
         if self.may_be_reserved(waiting) {
             let NewAttempt { attempt, key, .. } = waiting.begin;
@@ -122,8 +124,8 @@
     }
 }
 
-/// Decides what becomes of a waiting attempt, given the content of the shard with the
-/// reservations of the next swap.
+/// Decides on a waiting attempt, given the cached content of the shard and the content of the next
+/// swap with the reservations made so far.
 pub(super) fn decide(
     waiting: &WaitingAttempt,
     cached: &Shard,
@@ -164,7 +166,10 @@
     }
 }
 
-/// Answer while another attempt holds the reservation.
+/// Refuses an attempt while another attempt has the reservation.
+///
+/// The action counts as in progress until the dispatch deadline of the other attempt has passed on
+/// the clock of every host, allowing for skew. After that its outcome is reported as unknown.
 fn refuse_pending(not_after: UnixMillis, clock: UnixMillis, skew_ms: u64) -> Disposition {
     let outcome = outcome::Outcome::Unknown;
     if clock > not_after.plus(2 * skew_ms) {
@@ -200,7 +205,7 @@
     })
 }
 
-/// The record that reserves an attempt.
+/// Record that reserves an attempt.
 pub(super) fn reservation(begin: &NewAttempt) -> Record {
     let fingerprint: Fingerprint = begin.fingerprint;
     Record {
--- a/crates/core/tests/journal.rs
+++ b/crates/core/tests/journal.rs
@@ -1,5 +1,5 @@
-//! Keys, records and the answers of the journal. Orders of steps are searched by
-//! `pistachiochute-measure`.
+//! Keys, records and answers of the journal. `pistachiochute-measure` explores the interleavings of
+//! its steps.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 
 const NOW: time::Time = time::Time::ZERO;
 
-/// A time late enough that windows do not reach below zero.
+/// A time late enough that the retention window does not reach below zero.
 const CLOCK: journal::UnixMillis = journal::UnixMillis(10_000_000);
 
 fn config() -> Config {
@@ -43,7 +43,7 @@
     }
 }
 
-/// A journal with a service that answers every call at once.
+/// A journal with a key-value store that answers every call at once.
 struct JournalWithStore {
     journal: journal::Journal,
     store: BTreeMap<journal::ShardId, journal::StoredShard>,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Gives an event, serves the calls that follow and returns the other effects.
+    /// Handles an event, serves the resulting store calls and returns the other effects.
     fn handle(&mut self, event: Event, now: time::Time) -> Vec<Effect> {
         let mut open = vec![event];
         let mut rest = Vec::new();
