--- a/crates/core/src/entity.rs
+++ b/crates/core/src/entity.rs
@@ -1,23 +1,24 @@
-//! Ids of the entities that the platform numbers: hosts, endpoints and failure domains.
+//! Ids of the entities that the platform numbers: hosts, endpoints, failure domains and regions.
 //!
-//! The host list of the platform assigns the numbers, and they are stable for the life of the
-//! entity, so that every host of the fleet knows an entity by the same id. An id prints as a
-//! short prefix and its number (`host3`, `ep12`), and is written that way in JSON.
+//! The platform's host list assigns the numbers. They are stable for the lifetime of the entity, so
+//! that every host of the fleet uses the same id for it. An id prints as a short prefix and its
+//! number (`host3`, `ep12`), and has the same form in JSON.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::de::Error as _;
 
-/// Largest number of an entity. Bounds the memory of a dense map that a message can ask for.
+/// Largest number of an entity. Bounds the memory that an id in a message can make a dense map
+/// allocate.
 pub const MAX_INDEX: u32 = (1 << 20) - 1;
 
-/// A text that does not name an entity of the expected kind.
+/// Error for a text that is not the id of an entity of the expected kind.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseEntityError {
     /// Prefix of the expected kind of entity.
     pub prefix: &'static str,
-    /// The text that was refused.
+    /// The rejected text.
     pub text: String,
 }
 
@@ -33,9 +34,9 @@
 
 impl std::error::Error for ParseEntityError {}
 
-/// An id that can key a dense map.
+/// Id that can be the key of a dense map.
 pub trait Entity: Copy + Eq {
-    /// Makes the id with the given index.
+    /// Creates the id with the given index.
     ///
     /// # Panics
     ///
@@ -56,7 +57,7 @@
         );
 
         impl $name {
-            /// Makes the id with the given number, or `None` if it is above [`MAX_INDEX`].
+            /// Creates the id with the given number. `None` if it is above [`MAX_INDEX`].
             #[must_use]
             pub const fn new(number: u32) -> Option<Self> {
                 if number <= MAX_INDEX { Some(Self(number)) } else { None }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of the router fleet, as state machines without input or output.
+//! Decision logic of the router fleet, as state machines that do no I/O.
 //!
-//! Each machine takes a typed event and the time, and gives back typed effects. Sockets, threads
-//! and timers stand round them in `pistachiochute-runtime`. Replays, property tests and benches
-//! drive the same code that the daemon runs.
+//! Each state machine takes a typed event and the current time, and returns typed effects.
+//! `pistachiochute-runtime` and `pistachiochute-gateway` provide the sockets, threads and timers.
+//! Replays, property tests and benchmarks run the same code as the daemon.
 
 pub mod answer;
 pub mod catalog;
--- a/crates/core/src/map.rs
+++ b/crates/core/src/map.rs
@@ -1,4 +1,4 @@
-//! Dense maps keyed by entity ids.
+//! Dense maps with entity ids as keys.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -18,7 +18,7 @@
 where
     K: entity::Entity,
 {
-    /// Makes an empty map.
+    /// Creates an empty map.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -34,7 +34,7 @@
         self.len
     }
 
-    /// Whether the map holds no entity.
+    /// Whether the map contains no entity.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
@@ -46,18 +46,18 @@
         self.slots.get(key.index())?.as_ref()
     }
 
-    /// Value of an entity, to be changed.
+    /// Mutable value of an entity.
     pub fn get_mut(&mut self, key: K) -> Option<&mut V> {
         self.slots.get_mut(key.index())?.as_mut()
     }
 
-    /// Whether the map holds the entity.
+    /// Whether the map contains the entity.
     #[must_use]
     pub fn contains(&self, key: K) -> bool {
         self.get(key).is_some()
     }
 
-    /// Sets the value of an entity and returns the former one.
+    /// Sets the value of an entity and returns the previous one.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         let slot = self.slot(key);
         let former = slot.replace(value);
@@ -76,7 +76,7 @@
         former
     }
 
-    /// Value of an entity, made by `make` if the map does not hold the entity.
+    /// Mutable value of an entity. Inserts the result of `make` if the map has no value for it.
     pub fn get_or_insert_with<F>(&mut self, key: K, make: F) -> &mut V
     where
         F: FnOnce() -> V,
@@ -87,7 +87,7 @@
         self.slot(key).get_or_insert_with(make)
     }
 
-    /// Entities and values in the order of their ids.
+    /// Entities and values in order of id.
     pub fn iter(&self) -> impl Iterator<Item = (K, &V)> {
         self.slots
             .iter()
@@ -95,7 +95,7 @@
             .filter_map(|(i, slot)| Some((K::from_index(i), slot.as_ref()?)))
     }
 
-    /// Entities and values in the order of their ids, to be changed.
+    /// Entities and mutable values in order of id.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (K, &mut V)> {
         self.slots
             .iter_mut()
@@ -103,17 +103,17 @@
             .filter_map(|(i, slot)| Some((K::from_index(i), slot.as_mut()?)))
     }
 
-    /// Entities in the order of their ids.
+    /// Entities in order of id.
     pub fn keys(&self) -> impl Iterator<Item = K> {
         self.iter().map(|(key, _)| key)
     }
 
-    /// Values in the order of their ids.
+    /// Values in order of id.
     pub fn values(&self) -> impl Iterator<Item = &V> {
         self.iter().map(|(_, value)| value)
     }
 
-    /// Keeps the entities for which `keep` holds.
+    /// Removes the entities for which `keep` returns false.
     pub fn retain<F>(&mut self, mut keep: F)
     where
         F: FnMut(K, &mut V) -> bool,
--- a/crates/core/src/name.rs
+++ b/crates/core/src/name.rs
@@ -1,4 +1,4 @@
-//! Names that operators give: accounts, plans, models, services and operators.
+//! Names in the lists and credentials of operators: accounts, plans, models, services, operators.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,10 +9,10 @@
 /// Longest name, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
 
-/// A text that is not a name.
+/// Error for a text that is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseNameError {
-    /// The text that was refused.
+    /// The rejected text.
     pub text: String,
 }
 
@@ -39,7 +39,7 @@
         $(#[$attr])*
         #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(
-            /// Invariant: satisfies the rule that [`ParseNameError`] states.
+            /// Invariant: satisfies the rule in the message of [`ParseNameError`].
             Arc<str>,
         );
 
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,14 +1,14 @@
-//! What is known of whether a request ran at an endpoint.
+//! Evidence of whether a request ran at an endpoint.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// Knowledge of whether a request ran, ordered `NotRun < Unknown < Run`.
+/// Whether a request ran, as a lattice ordered `NotRun < Unknown < Run`.
 ///
-/// Each attempt adds evidence and the outcome of a request is the join of its attempts, so the
-/// order in which evidence arrives does not matter. `NotRun` needs proof from every attempt:
-/// the connection was never made, the owner refused before dispatch, or the endpoint itself
-/// refused before running.
+/// Each attempt adds evidence, and the outcome of a request is the join over its attempts, so the
+/// order in which evidence arrives does not matter. `NotRun` requires proof from every attempt: the
+/// connection was never made, the owner refused before dispatch, or the endpoint refused before
+/// running the request.
 #[derive(
     Clone,
     Copy,
@@ -24,7 +24,7 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The request was proved not to have run. This is the bottom of the lattice.
+    /// The request provably did not run. This is the bottom of the lattice.
     #[default]
     NotRun,
     /// The request may have run.
@@ -57,10 +57,10 @@
     }
 }
 
-/// How far one attempt is known to have got, in the order in which an attempt proceeds.
+/// Furthest step that one attempt is known to have reached, in the order of the steps.
 ///
-/// A hop that loses its connection knows only what it did and saw itself, so the progress is the
-/// furthest step that it took or was told of.
+/// A hop that loses its connection knows only the steps that it took itself and those that the next
+/// hop reported.
 #[derive(
     Clone,
     Copy,
@@ -76,19 +76,19 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Progress {
-    /// No byte of the request was handed to a connection.
+    /// No byte of the request was passed to a connection.
     #[default]
     NotSent,
     /// Some of the request may have reached the next hop.
     Sent,
     /// The next hop reported that it dispatched the request.
     Dispatched,
-    /// The head of the endpoint's answer arrived.
+    /// The head of the endpoint's answer was received.
     Answering,
 }
 
 impl Progress {
-    /// Evidence that the attempt leaves behind if it is lost here without a further word.
+    /// Outcome of the attempt if it is lost at this step and nothing more is received.
     #[must_use]
     pub const fn outcome_if_lost(self) -> Outcome {
         match self {
@@ -99,7 +99,7 @@
     }
 }
 
-/// A text that names no outcome.
+/// Error for a text that is not the name of an outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseOutcomeError(pub String);
 
--- a/crates/core/src/reason.rs
+++ b/crates/core/src/reason.rs
@@ -1,4 +1,4 @@
-//! Closed sets of reasons for refusals and retries, each with a counter in the metrics.
+//! Closed sets of reasons for refusals and retries. Every reason has a counter in the metrics.
 
 use std::fmt;
 
@@ -36,39 +36,39 @@
 }
 
 reasons! {
-    /// Why a request was refused or ended without its whole answer.
+    /// Why a request was refused or ended without a complete answer.
     Refusal {
         /// The request is not well-formed.
         BadRequest => "bad_request",
-        /// The headers are larger than the bound.
+        /// The headers exceed the size limit.
         HeadersTooLarge => "headers_too_large",
-        /// The body is larger than the bound.
+        /// The body exceeds the size limit.
         BodyTooLarge => "body_too_large",
-        /// The JSON body is nested deeper than the bound.
+        /// The JSON body exceeds the limit on nesting depth.
         JsonTooDeep => "json_too_deep",
         /// The body ended before its declared length or stalled.
         BodyTruncated => "body_truncated",
-        /// No such path.
+        /// The path does not exist.
         NotFound => "not_found",
-        /// The path does not take this method.
+        /// The path does not support this method.
         MethodNotAllowed => "method_not_allowed",
         /// The API key is missing or belongs to no account.
         Unauthorized => "unauthorized",
-        /// The plan does not hold the model or service.
+        /// The plan does not include the model or service.
         NotInPlan => "not_in_plan",
-        /// The plan's requests a minute are used up.
+        /// The plan's limit on requests per minute is reached.
         RequestLimit => "request_limit",
-        /// The plan's tokens a minute are used up.
+        /// The plan's limit on tokens per minute is reached.
         TokenLimit => "token_limit",
-        /// The plan's requests in flight are used up.
+        /// The plan's limit on requests in flight is reached.
         InFlightLimit => "in_flight_limit",
-        /// No host that holds a part of the plan's limits could be asked in time.
+        /// No host that manages a share of the plan's limits answered in time.
         LimitUnconfirmed => "limit_unconfirmed",
-        /// The host serves as many connections as it may.
+        /// The host has reached its limit of connections.
         TooManyConnections => "too_many_connections",
-        /// No endpoint that is reachable serves the model or service.
+        /// No reachable endpoint serves the model or service.
         NoEndpoint => "no_endpoint",
-        /// The endpoint is at its load bound.
+        /// The endpoint has reached its load bound.
         AtBound => "at_bound",
         /// The queue of the endpoint is full.
         QueueFull => "queue_full",
@@ -80,13 +80,13 @@
         NotOwner => "not_owner",
         /// The endpoint is leaving.
         EndpointLeaving => "endpoint_leaving",
-        /// The host has not yet taken over the lists.
+        /// The host has not loaded the lists yet.
         NotReady => "not_ready",
-        /// The key-value service cannot be reached for a call that needs a record.
+        /// The key-value service is unreachable, and the call needs a record in it.
         StoreUnavailable => "store_unavailable",
         /// The idempotency key is older than the retention window.
         KeyExpired => "key_expired",
-        /// The time in the idempotency key lies too far ahead of the host's clock.
+        /// The time in the idempotency key is too far ahead of the host's clock.
         KeyAhead => "key_ahead",
         /// The idempotency key is not a UUIDv7.
         KeyInvalid => "key_invalid",
@@ -96,35 +96,35 @@
         InProgress => "in_progress",
         /// The action of the idempotency key ended without a recorded outcome.
         ActionUnknown => "action_unknown",
-        /// The action of the idempotency key ran, and its answer was too long to be kept.
+        /// The action of the idempotency key ran, but its answer was too long to be recorded.
         AnswerNotKept => "answer_not_kept",
-        /// The journal of actions holds no more records for the time being.
+        /// The journal of actions has no room for another record at present.
         JournalFull => "journal_full",
-        /// The host has spent its retry budget.
+        /// The retry budget of the host is exhausted.
         RetryBudget => "retry_budget",
         /// The request passed through too many hosts.
         HopLimit => "hop_limit",
         /// A connection could not be made.
         ConnectFailed => "connect_failed",
-        /// The connection was lost before the answer was whole.
+        /// The connection was lost before the answer was complete.
         ConnectionLost => "connection_lost",
         /// The answer stalled for longer than its deadline.
         Stalled => "stalled",
-        /// The endpoint refused before running.
+        /// The endpoint refused before running the request.
         EndpointRefused => "endpoint_refused",
         /// The endpoint reported an error.
         EndpointFailed => "endpoint_failed",
-        /// The answer was cut short or did not match its length.
+        /// The answer was truncated or did not match its length.
         AnswerIncomplete => "answer_incomplete",
-        /// The caller went away.
+        /// The caller disconnected.
         CallerGone => "caller_gone",
         /// The credential does not allow the operation.
         Forbidden => "forbidden",
         /// The edit was based on a revision that is not the latest.
         EditConflict => "edit_conflict",
-        /// The lists hold findings.
+        /// Verification of the lists reported findings.
         InvalidLists => "invalid_lists",
-        /// A fault of the host itself.
+        /// The host itself failed.
         Internal => "internal",
     }
 }
@@ -173,7 +173,7 @@
 reasons! {
     /// Why a request was sent again.
     Retry {
-        /// The endpoint was at its load bound; the next candidate is taken.
+        /// The endpoint had reached its load bound, so the next candidate is tried.
         AtBound => "at_bound",
         /// The endpoint's queue was full.
         QueueFull => "queue_full",
@@ -183,17 +183,17 @@
         EndpointLeaving => "endpoint_leaving",
         /// The owner was shutting down.
         Draining => "draining",
-        /// The owner or endpoint could not be connected.
+        /// No connection to the owner or endpoint could be made.
         ConnectFailed => "connect_failed",
-        /// The connection was lost and the request is repeatable.
+        /// The connection was lost and the request may be repeated.
         ConnectionLost => "connection_lost",
-        /// The answer stalled and the request is repeatable.
+        /// The answer stalled and the request may be repeated.
         Stalled => "stalled",
-        /// The endpoint refused before running.
+        /// The endpoint refused before running the request.
         EndpointRefused => "endpoint_refused",
         /// The endpoint ran an idempotent request and failed.
         EndpointFailed => "endpoint_failed",
-        /// A cut stream is resumed at the engine.
+        /// An interrupted stream is resumed at the engine.
         Resume => "resume",
     }
 }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -5,7 +5,7 @@
 
 use crate::name;
 
-/// Id of a request, a UUIDv7 made by the entry host and carried over every hop.
+/// Id of a request: a UUIDv7 that the entry host generates and every hop passes on.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -32,9 +32,9 @@
     }
 }
 
-/// Key of a chat, hashed from the account and the caller's name of the chat.
+/// Key of a chat: a hash of the account and the caller's id of the chat.
 ///
-/// Two accounts that use the same name have different keys.
+/// The same id has different keys in different accounts.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -42,7 +42,7 @@
 pub struct ChatKey(pub u64);
 
 impl ChatKey {
-    /// Hashes the account and the caller's name of the chat.
+    /// Hashes the account and the caller's id of the chat.
     #[must_use]
     pub fn new(account: &name::AccountName, chat: &[u8]) -> Self {
         let seed = xxhash_rust::xxh3::xxh3_64(account.as_str().as_bytes());
@@ -62,7 +62,7 @@
     }
 }
 
-/// What a request asks for: a model of an engine, or a plain service.
+/// Target of a request: a model or a plain service.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -87,8 +87,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Idempotency {
-    /// Running it twice does no harm.
+    /// The request may run more than once.
     Idempotent,
-    /// It runs at most once: another attempt needs proof that no earlier one ran.
+    /// The request runs at most once. A retry requires proof that no earlier attempt ran.
     AtMostOnce,
 }
--- a/crates/core/src/revision.rs
+++ b/crates/core/src/revision.rs
@@ -6,7 +6,7 @@
 
 /// Revision of the two lists, as the key-value service numbers its writes.
 ///
-/// Revisions are totally ordered, and the revision in force on a host never goes down.
+/// Revisions are totally ordered, and the revision in force on a host never decreases.
 #[derive(
     Clone,
     Copy,
--- a/crates/core/src/sse.rs
+++ b/crates/core/src/sse.rs
@@ -1,22 +1,22 @@
-//! Splits a stream of server-sent events, and joins the parts of a resumed one.
+//! Splits a stream of server-sent events (SSE) and joins the parts of a resumed stream.
 
 use std::fmt;
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is held until it is whole, in bytes.
+/// Longest event that is buffered until it is complete, in bytes.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Why a stream cannot go on.
+/// Why a stream cannot be continued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamError {
     /// An event is longer than [`MAX_EVENT_BYTES`].
     TooLong,
-    /// The id of an event does not follow that of the one before it.
+    /// The id of an event does not follow the id of the previous event.
     Gap {
-        /// Id of the event before it.
+        /// Id of the previous event.
         after: u64,
-        /// Its own id.
+        /// Id of the event itself.
         found: u64,
     },
 }
@@ -32,19 +32,19 @@
 
 impl std::error::Error for StreamError {}
 
-/// Passes whole events on, and no event twice.
+/// Forwards complete events, each event once.
 #[derive(Clone, Debug, Default)]
 pub struct Splitter {
-    /// Bytes of an event that is not whole yet.
+    /// Bytes of an event that is not complete yet.
     partial: BytesMut,
-    /// Id of the last event that was passed on.
+    /// Id of the last forwarded event.
     last_id: Option<u64>,
-    /// Events that were passed on.
+    /// Number of forwarded events.
     events: u64,
 }
 
 impl Splitter {
-    /// Makes a splitter of a stream that its caller has up to an event already.
+    /// Creates the splitter of a stream of which the caller already has the events up to `last_id`.
     #[must_use]
     pub fn resume_after(last_id: Option<u64>) -> Self {
         Self {
@@ -53,11 +53,11 @@
         }
     }
 
-    /// Takes received bytes and returns the whole events among them.
+    /// Adds received bytes and returns the events that they complete.
     ///
     /// # Errors
     ///
-    /// Returns a [`StreamError`] if the stream cannot go on.
+    /// Returns a [`StreamError`] if the stream cannot be continued.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, StreamError> {
         self.partial.extend_from_slice(bytes);
         let mut passed = BytesMut::new();
@@ -73,30 +73,31 @@
         Ok(passed.freeze())
     }
 
-    /// Forgets an event that was cut, since another endpoint starts it again.
+    /// Discards an incomplete event, since the endpoint that resumes the stream sends it again from
+    /// its start.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// Whether no part of an event is held.
+    /// Whether no incomplete event is buffered.
     #[must_use]
     pub fn at_event_boundary(&self) -> bool {
         self.partial.is_empty()
     }
 
-    /// Id of the last event that was passed on.
+    /// Id of the last forwarded event.
     #[must_use]
     pub const fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Events that were passed on.
+    /// Number of forwarded events.
     #[must_use]
     pub const fn events(&self) -> u64 {
         self.events
     }
 
-    /// Whether an event is passed on: not if its caller has it already.
+    /// Whether the caller does not have the event yet. Records it as forwarded if so.
     fn is_new(&mut self, event: &[u8]) -> Result<bool, StreamError> {
         let Some(id) = event_id(event) else {
             self.events += 1;
@@ -113,7 +114,7 @@
     }
 }
 
-/// Length of the first event with the blank line that ends it.
+/// Length of the first complete event, including the blank line that ends it.
 fn event_end(buf: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (i, byte) in buf.iter().enumerate() {
@@ -129,7 +130,7 @@
     None
 }
 
-/// Numeric id of an event.
+/// Numeric id of an event, if it has one.
 fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|b| *b == b'\n');
     let line = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -4,10 +4,10 @@
 use std::ops::{Add, AddAssign, Sub};
 use std::time::Duration;
 
-/// A point in time, in microseconds since a fixed point in the life of the host.
+/// A point in time, in microseconds since the start of the host's monotonic clock.
 ///
-/// The runtime reads it from a clock that goes on while the process is stopped, so that a lease
-/// that lapsed during a pause is seen as lapsed. Times of two hosts cannot be compared.
+/// The clock keeps running while the process is paused, so that a lease that expired during a pause
+/// counts as expired. Times of different hosts cannot be compared.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(u64);
 
@@ -15,19 +15,19 @@
     /// Start of the clock.
     pub const ZERO: Self = Self(0);
 
-    /// Makes the point that lies `micros` microseconds after the start of the clock.
+    /// The point `micros` microseconds after the start of the clock.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Makes the point that lies `millis` milliseconds after the start of the clock.
+    /// The point `millis` milliseconds after the start of the clock.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Makes the point that lies `secs` seconds after the start of the clock.
+    /// The point `secs` seconds after the start of the clock.
     #[must_use]
     pub const fn from_secs(secs: u64) -> Self {
         Self(secs * 1_000_000)
@@ -39,7 +39,7 @@
         self.0
     }
 
-    /// Time since `earlier`, or zero if `earlier` is later.
+    /// Time elapsed since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
--- a/crates/core/src/topology.rs
+++ b/crates/core/src/topology.rs
@@ -1,16 +1,16 @@
-//! Hosts and endpoints as the platform's host list shows them.
+//! Hosts, endpoints and failure domains, as listed in the platform's host list.
 
 use std::net;
 
 use crate::{entity, name, request};
 
-/// Whether an entry of the host list is live or on its way out.
+/// Whether an entry of the host list is live or leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Presence {
     /// The entry is live.
     Live,
-    /// The entry is leaving: it gets no new work and finishes what it has.
+    /// The entry is leaving: it gets no new work and finishes the work that it has.
     Leaving,
 }
 
@@ -22,7 +22,7 @@
     pub id: entity::HostId,
     /// Failure domain of the host.
     pub domain: entity::DomainId,
-    /// Address of its links.
+    /// Address at which the host accepts links from other hosts.
     pub addr: net::SocketAddr,
     /// Whether the host is live.
     pub presence: Presence,
@@ -32,9 +32,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Serves {
-    /// An engine with the models that it has loaded.
+    /// A model engine.
     Engine {
-        /// Models that it has loaded.
+        /// Models that the engine has loaded.
         models: Vec<name::ModelName>,
     },
     /// A replica of a plain service.
@@ -68,7 +68,7 @@
     pub addr: net::SocketAddr,
     /// What it serves.
     pub serves: Serves,
-    /// Requests that it runs at once.
+    /// Number of requests that the endpoint runs concurrently.
     pub slots: u32,
     /// Whether the endpoint is live.
     pub presence: Presence,
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostList {
-    /// Version of the list; a larger one is newer.
+    /// Version of the list. A larger version is newer.
     pub version: u64,
     /// Failure domains.
     pub domains: Vec<Domain>,
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -81,7 +81,7 @@
 }
 
 quantity! {
-    /// A number of tokens, read or generated. Arithmetic saturates.
+    /// A number of tokens, prompt or generated. Arithmetic saturates.
     Tokens
 }
 quantity! {
@@ -93,6 +93,6 @@
     ByteSize
 }
 quantity! {
-    /// A rate in units a minute. Arithmetic saturates.
+    /// A rate per minute. Arithmetic saturates.
     PerMinute
 }
--- a/crates/core/tests/sse.rs
+++ b/crates/core/tests/sse.rs
@@ -1,4 +1,4 @@
-//! Streams of events: whole events only, none twice, and parts joined without a gap.
+//! Event streams: only complete events are forwarded, none twice, and parts join without a gap.
 
 use pistachiochute_core::sse::{Splitter, StreamError};
 use proptest::prelude::proptest;
@@ -56,7 +56,7 @@
         ..Config::default()
     })]
 
-    /// However a stream is cut into reads, the caller gets the same bytes.
+    /// The caller gets the same bytes however the stream is divided into reads.
     #[test]
     fn reads_of_any_size_give_the_same_stream(size in 1_usize..40) {
         let whole = events(0..10);
