--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -49,7 +49,7 @@
     /// Retry budget of the whole fleet.
     pub retry: retry::FleetBudget,
     /// Longest time that a planned stop takes.
-    pub stop: Duration,
+    pub stop_timeout: Duration,
     /// Whether the whole fleet starts for the first time, so that no engine holds anything.
     pub is_first_start: bool,
 }
@@ -61,7 +61,7 @@
 const MAX_LEASE_MS: u64 = 600_000;
 
 /// Longest time of a planned stop, in seconds.
-const MAX_STOP_S: u64 = 3_600;
+const MAX_STOP_TIMEOUT_S: u64 = 3_600;
 
 impl Settings {
     /// Reads settings from a JSON file.
@@ -72,7 +72,7 @@
     pub fn load(file: &path::Path) -> Result<Self, Vec<Finding>> {
         match fs::read_to_string(file) {
             Ok(text) => Self::parse(&text),
-            Err(e) => Err(vec![whole(e.to_string())]),
+            Err(e) => Err(vec![document_finding(e.to_string())]),
         }
     }
 
@@ -83,7 +83,7 @@
     /// Returns every finding if there is at least one.
     pub fn parse(text: &str) -> Result<Self, Vec<Finding>> {
         let document: serde_json::Value =
-            serde_json::from_str(text).map_err(|e| vec![whole(e.to_string())])?;
+            serde_json::from_str(text).map_err(|e| vec![document_finding(e.to_string())])?;
         let mut findings = Vec::new();
         let settings = reader::Reader::new("$".to_owned(), &document, &mut findings).and_then(read);
         match settings {
@@ -94,7 +94,7 @@
 }
 
 /// Finding about the document as a whole.
-fn whole(fault: String) -> Finding {
+fn document_finding(fault: String) -> Finding {
     Finding {
         place: "$".to_owned(),
         fault,
@@ -106,8 +106,8 @@
     let listen = reader.section("listen").and_then(read_listen);
     let store = reader.section("store").and_then(read_store);
     let retry = reader.section("retry").and_then(read_retry);
-    let stop = reader.scalar("stop_s", 8, 1..=MAX_STOP_S);
-    let first = match reader.optional("first_start") {
+    let stop_timeout = reader.scalar("stop_s", 8, 1..=MAX_STOP_TIMEOUT_S);
+    let is_first_start = match reader.optional("first_start") {
         Some(_) => reader.typed("first_start"),
         None => Some(false),
     };
@@ -117,8 +117,8 @@
         listen: listen?,
         store: store?,
         retry: retry?,
-        stop: Duration::from_secs(stop?),
-        is_first_start: first?,
+        stop_timeout: Duration::from_secs(stop_timeout?),
+        is_first_start: is_first_start?,
     })
 }
 
--- a/crates/gateway/src/traffic/mod.rs
+++ b/crates/gateway/src/traffic/mod.rs
@@ -74,7 +74,7 @@
     });
     tokio::task::spawn_local(listener::accept(cx.clone(), callers));
     tokio::task::spawn_local(publish_loads(cx.clone()));
-    listener::shut_down(&cx, settings.stop).await;
+    listener::shut_down(&cx, settings.stop_timeout).await;
     cx.active_requests.get()
 }
 
