--- a/crates/gateway/src/adapter.rs
+++ b/crates/gateway/src/adapter.rs
@@ -1,4 +1,4 @@
-//! What the gateway needs of the platform that it runs on.
+//! Interface between the gateway and the platform that it runs on.
 
 use std::net;
 use std::time::Duration;
@@ -9,137 +9,137 @@
 use pistachiochute_core::{catalog, directory, reason, revision};
 use pistachiochute_runtime::platform::key_value;
 
-/// What a caller says of its request, beside method, path and body.
+/// Metadata that a caller sends with its request in headers.
 #[derive(Clone, Debug)]
 pub struct RequestMetadata {
-    /// Id of the request, as the caller made it.
+    /// Id of the request, set by the caller.
     pub id: Bytes,
-    /// Time that the caller will wait.
+    /// Time that the caller waits for the answer.
     pub timeout: Option<Duration>,
     /// API key.
     pub key: Option<Bytes>,
-    /// Prompt, if an engine is asked.
+    /// Prompt, if the request is for an inference engine.
     pub prompt: Option<prompt::Prompt>,
-    /// Id of the last event of the stream that the caller has already.
+    /// Id of the last stream event that the caller has received, if it resumes a stream.
     pub after_event: Option<u64>,
 }
 
-/// What an endpoint is told with a request.
+/// Metadata that the gateway sends to an endpoint with a request.
 #[derive(Clone, Copy, Debug)]
 pub struct CallMetadata<'a> {
-    /// The endpoint that is meant.
+    /// Endpoint that the request is for.
     pub endpoint: &'a directory::Endpoint,
-    /// Time until the answer is of no use.
+    /// Time until the deadline of the request.
     pub remaining: Duration,
     /// Name of the client account.
     pub account: Option<&'a str>,
-    /// Rank of the request; 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Id of the last event of the stream that the caller has already.
+    /// Id of the last stream event that the caller has received, if the stream is resumed.
     pub after_event: Option<u64>,
-    /// Endpoint whose cached part of the prompt is to be copied first.
+    /// Address of the endpoint to copy the cached part of the prompt from before the rest is read.
     pub copy_from: Option<net::SocketAddr>,
 }
 
-/// Load that an endpoint states of itself.
+/// Load that an endpoint reports in its answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u32,
 }
 
-/// What the head of an endpoint's answer says.
+/// Metadata in the head of an endpoint's answer.
 #[derive(Clone, Debug)]
 pub struct ResponseMetadata {
-    /// Id of the request that is answered.
+    /// Id of the request that this answers.
     pub id: Option<Bytes>,
-    /// Whether the endpoint vouches for the answer.
+    /// Whether the answer carries the seal that marks it as an endpoint's.
     pub is_sealed: bool,
-    /// Whether the endpoint states that it did not run the request.
+    /// Whether the endpoint states that it has not run the request.
     pub is_not_run: bool,
-    /// Load of the endpoint.
+    /// Current load of the endpoint.
     pub load: Option<ReportedLoad>,
-    /// Time for which the endpoint keeps the connection open while it is idle.
+    /// Time after which the endpoint closes an idle connection.
     pub idle_limit: Option<Duration>,
 }
 
-/// Reads and writes the headers and entries of a platform.
+/// Headers and store entries of a platform.
 pub trait Dialect: Clone + Send + 'static {
-    /// Reads what a caller says.
+    /// Reads the metadata of a caller's request.
     ///
     /// # Errors
     ///
-    /// Returns a reason if the request cannot be served as it is.
+    /// Returns the refusal if a required header is missing or invalid.
     fn request_metadata(&self, head: &request::Parts) -> Result<RequestMetadata, reason::Refusal>;
 
-    /// Replaces what only concerns callers by what an endpoint is told.
+    /// Removes headers that callers must not send to endpoints, and sets those of the gateway.
     fn set_call_headers(&self, headers: &mut HeaderMap, call: &CallMetadata<'_>);
 
-    /// Reads the head of an endpoint's answer.
+    /// Reads the metadata of an endpoint's answer.
     fn response_metadata(&self, head: &response::Parts) -> ResponseMetadata;
 
-    /// Removes what does not concern callers.
+    /// Removes headers of an endpoint's answer that callers must not see.
     fn strip_internal_headers(&self, headers: &mut HeaderMap);
 
-    /// Path of the list of cached parts of prompts, at an engine.
+    /// Path at which an engine lists the parts of prompts in its cache.
     fn cache_list_path(&self) -> &'static str;
 
-    /// Keys of the parts in an engine's list, as [`prompt::part_key`] makes them.
+    /// Decodes an engine's cache list to keys as of [`prompt::part_key`].
     ///
     /// # Errors
     ///
-    /// Returns an error if the list cannot be read.
+    /// Returns an error if the list is malformed.
     fn decode_cached_parts(&self, body: &[u8]) -> eyre::Result<Vec<u64>>;
 
-    /// Key of the entry that holds the catalog.
+    /// Key of the store entry that holds the catalog.
     fn catalog_key(&self) -> &'static str;
 
-    /// Start of the keys of the entries of endpoints.
+    /// Key prefix of the store entries of endpoints.
     fn endpoints_prefix(&self) -> &'static str;
 
-    /// Reads the entry of the catalog.
+    /// Decodes the catalog entry.
     ///
     /// # Errors
     ///
-    /// Returns an error that names what cannot be read.
+    /// Returns an error that names the invalid field.
     fn decode_catalog(&self, value: &[u8]) -> eyre::Result<catalog::Content>;
 
-    /// Reads the entry of an endpoint.
+    /// Decodes the entry of an endpoint.
     ///
     /// # Errors
     ///
-    /// Returns an error that names what cannot be read.
+    /// Returns an error that names the invalid field.
     fn decode_endpoint(&self, key: &str, value: &[u8]) -> eyre::Result<directory::Endpoint>;
 }
 
-/// Answer to a watch.
+/// Answer to a long-polling watch.
 #[derive(Clone, Debug)]
 pub enum WatchResponse {
-    /// All changes after the asked revision, up to and with `revision`.
+    /// All changes after the requested revision, up to and including `revision`.
     Changes {
-        /// Revision to go on from.
+        /// Revision from which the next watch continues.
         revision: revision::Revision,
         /// Changes in the order of their revisions.
         changes: Vec<key_value::Change>,
     },
-    /// The changes after the asked revision are no longer kept.
+    /// The store no longer has all changes after the requested revision.
     Compacted,
 }
 
-/// How current a read is.
+/// Consistency of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// It sees every change that was acknowledged before it.
+    /// The read sees every change that was acknowledged before it.
     Linearizable,
-    /// It may be seconds old, and costs the store less.
+    /// The result may be seconds old, but costs the store less.
     Stale,
 }
 
-/// The key-value service of a platform.
+/// Client of a platform's key-value service.
 ///
-/// Dropping a future gives the call up; its effect is then unknown.
+/// Dropping a future cancels the call; whether it took effect is then unknown.
 pub trait Store: Clone + 'static {
     /// Reads all entries whose keys start with `prefix`.
     fn range(
@@ -148,7 +148,7 @@
         consistency: Consistency,
     ) -> impl Future<Output = Result<key_value::Found, key_value::Error>>;
 
-    /// Waits up to `wait` for changes after a revision.
+    /// Waits up to `wait` for changes after a revision to keys that start with `prefix`.
     fn watch(
         &self,
         prefix: &str,
@@ -156,7 +156,7 @@
         wait: Duration,
     ) -> impl Future<Output = Result<WatchResponse, key_value::Error>>;
 
-    /// Writes an entry, whatever it was before. It is removed when the lease lapses.
+    /// Writes an entry unconditionally. The store removes it when the lease expires.
     fn put(
         &self,
         key: &str,
@@ -170,7 +170,7 @@
         ttl: Duration,
     ) -> impl Future<Output = Result<key_value::LeaseId, key_value::Error>>;
 
-    /// Renews a lease. Returns whether it still holds.
+    /// Renews a lease. Returns whether it was still valid.
     fn keep_alive(
         &self,
         lease: key_value::LeaseId,
--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -1,4 +1,4 @@
-//! Small HTTP listeners: the health checks of the balancer, and the metrics.
+//! HTTP listeners for the load balancer's health checks and for metrics.
 
 use std::convert::Infallible;
 use std::net;
@@ -14,25 +14,25 @@
 
 use crate::sockets;
 
-/// Answer of a small listener.
+/// Answer of an admin listener.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// HTTP status.
     pub status: StatusCode,
-    /// Body, as plain text.
+    /// Plain-text body.
     pub body: String,
 }
 
-/// Answers every request on a listener with what `reply` returns.
+/// Answers every request on a listener with the result of `reply`, whatever its path.
 ///
 /// # Errors
 ///
-/// Returns an error if the listener cannot be used.
+/// Returns an error if the listener cannot be registered with the runtime.
 pub async fn serve<F>(listener: net::TcpListener, reply: F) -> eyre::Result<()>
 where
     F: Fn() -> Reply + 'static,
 {
-    let listener = tokio::net::TcpListener::from_std(listener).wrap_err("listener")?;
+    let listener = tokio::net::TcpListener::from_std(listener).wrap_err("register the listener")?;
     let reply = Rc::new(reply);
     loop {
         let stream = sockets::accept(&listener).await;
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,7 +1,8 @@
-//! Log lines: one for each decision that touches a request or changes what the host believes.
+//! Structured log: one line for each decision that affects a request or changes the state of the
+//! host.
 //!
-//! Every line has a fixed message and fixed fields, which `docs/OPERATIONS.md` lists. Lines are
-//! written by a thread of their own; when it cannot keep up, lines are dropped and counted.
+//! Every line has a fixed message and fixed keys, which `docs/OPERATIONS.md` lists. A separate
+//! thread writes the lines; if it falls behind, lines are dropped and counted.
 
 use std::cell::Cell;
 use std::fmt;
@@ -14,15 +15,15 @@
 use pistachiochute_runtime::clock;
 use pistachiochute_runtime::platform::key_value;
 
-/// Lines about requests that one host writes in a second at most.
+/// Most lines about requests that a host logs per second.
 const REQUEST_LINES_PER_S: u32 = 150;
 
-/// Where news came from.
+/// Where a catalog came from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// From the store.
+    /// The store.
     Store,
-    /// From another host.
+    /// Another host, by name.
     Host(Arc<str>),
 }
 
@@ -35,68 +36,68 @@
     }
 }
 
-/// One attempt of a request, as it is logged.
+/// Log entry of a failed attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptLogEntry<'a> {
     /// Id of the request.
     pub request: &'a str,
-    /// Endpoint that was chosen.
+    /// Endpoint that the attempt was sent to.
     pub endpoint: &'a directory::Identity,
-    /// Figures that decided the choice.
+    /// Predicted cost and tokens by which the endpoint was selected.
     pub choice: &'a choice::Choice,
-    /// How the attempt ended.
+    /// Name of the failure.
     pub failure: &'a str,
-    /// Why, in words.
+    /// Error text.
     pub cause: &'a str,
-    /// What follows.
+    /// Reason of the retry or of the refusal that follows.
     pub next: &'a str,
 }
 
-/// The end of a request, as it is logged.
+/// Log entry of a finished request.
 #[derive(Clone, Debug)]
 pub struct RequestLogEntry<'a> {
     /// Id of the request.
     pub request: &'a str,
-    /// Route, if one was found.
+    /// Name of the route, or empty if none matched.
     pub route: &'a str,
-    /// Client account.
+    /// Name of the client account, or empty if there is none.
     pub account: &'a str,
-    /// Version of the catalog that decided.
+    /// Version of the catalog that the request was routed by.
     pub catalog: Option<catalog::Version>,
-    /// Time since that catalog was known to be the newest.
+    /// Time since the catalog was last confirmed to be the newest one.
     pub catalog_age: Duration,
-    /// Status that the caller got.
+    /// HTTP status of the answer.
     pub status: u16,
-    /// Reason of a refusal.
+    /// Reason, if the request was refused.
     pub reason: Option<reason::Refusal>,
-    /// Whether the request ran.
+    /// Whether an endpoint ran the request.
     pub outcome: outcome::Outcome,
-    /// Attempts.
+    /// Number of attempts before the answer began.
     pub attempts: u32,
-    /// Endpoint that answered.
+    /// Endpoint of the last of these attempts, or empty if there was none.
     pub endpoint: &'a str,
-    /// Figures that decided the choice of that endpoint.
+    /// Predicted cost and tokens by which that endpoint was selected.
     pub choice: Option<choice::Choice>,
-    /// Time to the head of the answer.
+    /// Time to the first event of a stream, or to the end of any other answer.
     pub time_to_first: Option<Duration>,
     /// Time to the end of the answer.
     pub duration: Duration,
-    /// Events of a stream that were passed on.
+    /// Stream events forwarded to the caller.
     pub events: u64,
-    /// Longest time between two of them.
+    /// Longest time between two forwarded chunks of events.
     pub longest_gap: Duration,
-    /// How the answer ended.
+    /// How the request ended.
     pub end: &'a str,
 }
 
-/// Log of one thread.
+/// Event log of one thread.
 #[derive(Clone)]
 pub struct Events {
     log: slog::Logger,
     quota: Rc<LineQuota>,
 }
 
-/// Lines about requests in the current second.
+/// Limits lines about requests per second of the clock.
 #[derive(Default)]
 struct LineQuota {
     second: Cell<u64>,
@@ -111,7 +112,7 @@
 }
 
 impl Events {
-    /// Makes the log of a thread.
+    /// Creates the log of a thread.
     #[must_use]
     pub fn new(log: slog::Logger) -> Self {
         Self {
@@ -120,12 +121,12 @@
         }
     }
 
-    /// A catalog is in force.
+    /// A newer catalog was applied.
     pub fn catalog_applied(&self, version: catalog::Version, source: Source) {
         slog::info!(self.log, "catalog taken over"; "version" => %version, "source" => %source);
     }
 
-    /// The store began or ceased to answer.
+    /// The store became reachable or unreachable.
     pub fn store_availability(&self, answers: bool, cause: &str) {
         match answers {
             true => slog::info!(self.log, "store regained"),
@@ -133,31 +134,31 @@
         }
     }
 
-    /// The store no longer holds the changes after a revision; everything is read again.
+    /// The store has compacted the changes after a revision, so that all entries are read again.
     pub fn watch_compacted(&self, prefix: &str, after: revision::Revision) {
-        slog::info!(self.log, "history gone"; "prefix" => prefix, "after" => %after);
+        slog::info!(self.log, "watch history compacted"; "prefix" => prefix, "after" => %after);
     }
 
-    /// A follower of the store has to start anew.
+    /// Synchronization with the store failed and has to start over.
     pub fn sync_failed(&self, what: &str, e: &key_value::Error) {
-        slog::info!(self.log, "follower stopped"; "what" => what, "cause" => %e);
+        slog::info!(self.log, "store sync failed"; "what" => what, "cause" => %e);
     }
 
-    /// An entry of the store cannot be used.
+    /// A store entry cannot be decoded.
     pub fn entry_invalid(&self, key: &[u8], revision: revision::Revision, e: &eyre::Report) {
         let key = String::from_utf8_lossy(key).into_owned();
         slog::warn!(
-            self.log, "entry unusable";
+            self.log, "store entry invalid";
             "key" => key, "revision" => %revision, "cause" => format!("{e:#}"),
         );
     }
 
-    /// All endpoints were read.
+    /// The entries of all endpoints were read.
     pub fn endpoints_listed(&self, entries: usize, revision: revision::Revision) {
         slog::info!(self.log, "endpoints listed"; "entries" => entries, "revision" => %revision);
     }
 
-    /// The use of an endpoint changed.
+    /// An endpoint was added, changed, or removed.
     pub fn endpoint_changed(
         &self,
         key: &str,
@@ -177,47 +178,50 @@
         );
     }
 
-    /// An engine told what it holds.
+    /// An engine listed its cached prompt parts.
     pub fn cache_listed(&self, endpoint: &directory::Identity, parts: usize) {
-        slog::info!(self.log, "cache learned"; "endpoint" => %endpoint, "parts" => parts);
+        slog::info!(self.log, "engine cache listed"; "endpoint" => %endpoint, "parts" => parts);
     }
 
-    /// An engine did not tell what it holds.
+    /// An engine's list of cached prompt parts could not be read.
     pub fn cache_list_failed(&self, endpoint: &directory::Identity, cause: &str) {
-        slog::info!(self.log, "cache unknown"; "endpoint" => %endpoint, "cause" => cause);
+        slog::info!(
+            self.log, "engine cache list failed";
+            "endpoint" => %endpoint, "cause" => cause,
+        );
     }
 
-    /// A host is known.
+    /// Another host was discovered.
     pub fn host_discovered(&self, name: &str, links: net::SocketAddr) {
-        slog::info!(self.log, "host known"; "peer" => name, "links" => %links);
+        slog::info!(self.log, "host discovered"; "peer" => name, "links" => %links);
     }
 
-    /// The entry of a host is gone.
+    /// The entry of a host was removed.
     pub fn host_removed(&self, name: &str) {
-        slog::info!(self.log, "host gone"; "peer" => name);
+        slog::info!(self.log, "host entry removed"; "peer" => name);
     }
 
-    /// The lease of this host's entry ended.
+    /// The lease of this host's entry expired.
     pub fn lease_expired(&self, lease: key_value::LeaseId) {
-        slog::warn!(self.log, "lease ended"; "lease" => %lease);
+        slog::warn!(self.log, "host lease expired"; "lease" => %lease);
     }
 
-    /// A link works.
+    /// A link to another host was established.
     pub fn link_up(&self, name: &str) {
         slog::info!(self.log, "link up"; "peer" => name);
     }
 
-    /// A link was lost.
+    /// A link to another host was lost.
     pub fn link_lost(&self, name: &str, e: &eyre::Report) {
         slog::info!(self.log, "link lost"; "peer" => name, "cause" => format!("{e:#}"));
     }
 
-    /// A listener cannot be used.
+    /// A listener cannot be registered with the runtime.
     pub fn listener_failed(&self, what: &str, e: &dyn fmt::Display) {
         slog::error!(self.log, "listener failed"; "what" => what, "cause" => %e);
     }
 
-    /// An attempt ended without an answer for the caller.
+    /// An attempt failed.
     pub fn attempt(&self, entry: &AttemptLogEntry<'_>) {
         if !self.allow_line(clock::now()) {
             return;
@@ -245,24 +249,26 @@
             "endpoint" => entry.endpoint, "cost_ms" => entry.choice.map(|c| c.cost_ms),
             "read_tokens" => entry.choice.map(|c| c.read_tokens),
             "copy_tokens" => entry.choice.map(|c| c.copy_tokens),
-            "first_ms" => entry.time_to_first.map(millis), "total_ms" => millis(entry.duration), "events" => entry.events,
-            "longest_gap_ms" => millis(entry.longest_gap), "end" => entry.end,
+            "first_ms" => entry.time_to_first.map(millis), "total_ms" => millis(entry.duration),
+            "events" => entry.events, "longest_gap_ms" => millis(entry.longest_gap),
+            "end" => entry.end,
         );
     }
 
-    /// A step of a planned stop.
+    /// A graceful stop entered a phase.
     pub fn stop_step(&self, step: &str, requests: usize) {
-        slog::info!(self.log, "stop"; "step" => step, "requests" => requests);
+        slog::info!(self.log, "graceful stop"; "step" => step, "requests" => requests);
     }
 
-    /// Whether another line about a request may be written in this second.
+    /// Whether another line about a request fits into the limit of this second. Logs the number of
+    /// lines dropped in the previous second.
     fn allow_line(&self, now: time::Time) -> bool {
         let second = now.as_micros() / 1_000_000;
         if self.quota.second.replace(second) != second {
             self.quota.lines.set(0);
             let dropped = self.quota.dropped.take();
             if dropped > 0 {
-                slog::warn!(self.log, "lines dropped"; "lines" => dropped);
+                slog::warn!(self.log, "log lines dropped"; "lines" => dropped);
             }
         }
         let lines = self.quota.lines.get();
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the threads of a host.
+//! Start and stop of the threads of a host.
 
 use std::sync::Arc;
 use std::{net, thread};
@@ -20,7 +20,7 @@
 }
 
 impl Sockets {
-    /// Binds the addresses, and replaces ports that the system chooses by its choice.
+    /// Binds the addresses. Replaces port 0 in `listen` by the port that the system assigned.
     fn bind(listen: &mut settings::Listen) -> eyre::Result<Self> {
         Ok(Self {
             callers: bind(&mut listen.callers)?,
@@ -47,11 +47,11 @@
 }
 
 impl Gateway {
-    /// Starts a host. `store` makes the client of the store on the thread that uses it.
+    /// Starts a host. `store` is called on the control thread to create the client of the store.
     ///
     /// # Errors
     ///
-    /// Returns an error if an address cannot be listened on or a thread cannot be started.
+    /// Returns an error if an address cannot be bound or a thread cannot be started.
     pub fn start<D, S, F>(
         mut settings: settings::Settings,
         dialect: D,
@@ -78,7 +78,7 @@
         let control = thread::Builder::new()
             .name("control".to_owned())
             .spawn(move || control.run(store))
-            .wrap_err("control thread")?;
+            .wrap_err("start the control thread")?;
         let traffic_shared = shared.clone();
         let callers = sockets.callers;
         let traffic = thread::Builder::new()
@@ -89,7 +89,7 @@
                     traffic::run(dialect, settings, traffic_shared, events, metrics, callers);
                 block_on(serving)
             })
-            .wrap_err("traffic thread")?;
+            .wrap_err("start the traffic thread")?;
         Ok(Self {
             shared,
             listen,
@@ -98,22 +98,22 @@
         })
     }
 
-    /// Addresses that the host listens on.
+    /// Addresses that the host listens on, with the assigned ports.
     #[must_use]
     pub const fn listen(&self) -> settings::Listen {
         self.listen
     }
 
-    /// Begins a planned stop.
+    /// Begins a graceful stop. [`Gateway::close`] waits for its end.
     pub fn stop(&self) {
         self.shared.enter_phase(Phase::Leaving);
     }
 
-    /// Waits for the end of a planned stop. Returns the requests that were cut off.
+    /// Waits for the end of a graceful stop. Returns the number of requests that were cut off.
     ///
     /// # Errors
     ///
-    /// Returns an error if a thread failed.
+    /// Returns an error if a thread failed or panicked.
     pub fn close(self) -> eyre::Result<usize> {
         let traffic = self.traffic.join();
         self.shared.enter_phase(Phase::Stopped);
@@ -124,7 +124,7 @@
     }
 }
 
-/// What the control thread starts from.
+/// Arguments of the control thread.
 struct Control<D> {
     settings: settings::Settings,
     dialect: D,
@@ -166,7 +166,7 @@
     }
 }
 
-/// Whether the balancer should send callers here.
+/// Answers a health check: 200 while the load balancer should send callers here, else 503.
 fn health_reply(shared: &shared::Shared) -> admin::Reply {
     let is_ready = shared.phase() == Phase::Serving && shared.view().can_serve();
     let status = match is_ready {
@@ -192,7 +192,7 @@
     }
 }
 
-/// Runs a future, and the tasks that it starts, on the current thread.
+/// Runs a future and the local tasks that it spawns on the current thread.
 fn block_on<F>(future: F) -> eyre::Result<F::Output>
 where
     F: Future,
@@ -200,7 +200,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .wrap_err("executor")?;
+        .wrap_err("build the tokio runtime")?;
     let tasks = tokio::task::LocalSet::new();
     Ok(tasks.block_on(&runtime, future))
 }
--- a/crates/gateway/src/http_client.rs
+++ b/crates/gateway/src/http_client.rs
@@ -1,4 +1,4 @@
-//! Calls to an HTTP service over persistent connections.
+//! HTTP/1.1 client of one service, with a small pool of persistent connections.
 
 use std::cell::RefCell;
 use std::net;
@@ -14,27 +14,27 @@
 
 use crate::sockets;
 
-/// Time to make a connection.
+/// Time in which a connection must be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Largest answer, in bytes.
+/// Largest response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Connections that stay open for later calls.
+/// Idle connections kept open for later calls.
 const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// Status and body of an answer.
+/// Status and body of a response.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// HTTP status.
     pub status: StatusCode,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 type Connection = http1::SendRequest<Full<Bytes>>;
 
-/// Client of one service. Clones share the connections.
+/// Client of one service. Clones share the connection pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     address: net::SocketAddr,
@@ -42,7 +42,7 @@
 }
 
 impl Client {
-    /// Makes a client without connections.
+    /// Creates a client. Connections are opened on demand.
     #[must_use]
     pub fn new(address: net::SocketAddr) -> Self {
         Self {
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Calls the service.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// [`key_value::Error::NotSent`] if no connection was made, and
-    /// [`key_value::Error::Unknown`] if no whole answer came in time. The connection is then
-    /// not used again.
+    /// Returns [`key_value::Error::NotSent`] if no connection was established, and
+    /// [`key_value::Error::Unknown`] if no complete response came within `timeout`. The connection
+    /// is closed in the latter case.
     pub async fn call(
         &self,
         req: Request<Full<Bytes>>,
@@ -96,7 +96,7 @@
         let (connection, driver) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|e| not_sent(e.to_string()))?;
-        // The error of the driver is that of the call that it ends.
+        // A connection error is reported by the call that it interrupts.
         tokio::task::spawn_local(async { drop(driver.await) });
         Ok(connection)
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,11 +1,11 @@
-//! An entry host on a platform: it takes callers' requests and calls endpoints directly.
+//! Gateway host on a platform: accepts callers' requests and sends them to endpoints directly.
 //!
-//! Two threads run it. The [`control`] thread keeps what the host believes: the catalog, the
-//! endpoints and the other hosts, from the store and from the links between hosts. It publishes
-//! them as an immutable [`shared::View`]. The [`traffic`] thread serves every connection and
-//! decides on the view and on its own counts, so no request crosses a thread.
+//! A host runs two threads. The [`control`] thread maintains the catalog, the endpoints and the
+//! list of hosts from the store and from the links between hosts, and publishes them as an
+//! immutable [`shared::View`]. The [`traffic`] thread serves all connections and routes by the
+//! view and its own counters, so that no request crosses a thread.
 //!
-//! The platform itself is met through [`adapter`], which an adapter implements.
+//! The headers and the key-value service of a platform are behind the traits of [`adapter`].
 
 pub mod adapter;
 pub mod admin;
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry host on a platform, read from JSON and checked whole.
+//! Settings of a gateway host, parsed from JSON and validated as a whole.
 
 use std::time::Duration;
 use std::{fs, net, path};
@@ -6,10 +6,10 @@
 use pistachiochute_core::retry;
 use pistachiochute_runtime::settings::{Finding, reader};
 
-/// Place of the host in the fleet.
+/// Identity of the host in the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Host {
-    /// Name, which is unique in the fleet.
+    /// Name, unique in the fleet.
     pub name: String,
     /// Failure domain.
     pub domain: String,
@@ -18,9 +18,9 @@
 /// Addresses that the host listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Listen {
-    /// For callers.
+    /// For requests of callers.
     pub callers: net::SocketAddr,
-    /// For the health checks of the balancer.
+    /// For health checks of the load balancer.
     pub health: net::SocketAddr,
     /// For the links from other hosts.
     pub links: net::SocketAddr,
@@ -28,47 +28,49 @@
     pub metrics: net::SocketAddr,
 }
 
-/// The platform's store.
+/// Key-value store of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Store {
     /// Address.
     pub address: net::SocketAddr,
-    /// Time after which the entry of a silent host is removed.
+    /// Time to live of the lease of this host's entry: the store removes the entry of a host that
+    /// has not renewed it for that long.
     pub lease: Duration,
 }
 
 /// Settings of one host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Place of the host in the fleet.
+    /// Identity of the host.
     pub host: Host,
-    /// Addresses.
+    /// Addresses to listen on.
     pub listen: Listen,
     /// The store.
     pub store: Store,
     /// Retry budget of the whole fleet.
     pub retry: retry::FleetBudget,
-    /// Longest time that a planned stop takes.
+    /// Longest duration of a graceful stop. Requests that have not ended by then are cut off.
     pub stop_timeout: Duration,
-    /// Whether the whole fleet starts for the first time, so that no engine holds anything.
+    /// Whether the whole fleet starts for the first time, so that the caches of all engines are
+    /// empty.
     pub is_first_start: bool,
 }
 
-/// Shortest lease of the entry of a host, in milliseconds.
+/// Lower bound of the lease of a host's entry, in milliseconds.
 const MIN_LEASE_MS: u64 = 1_000;
 
-/// Longest lease of the entry of a host, in milliseconds.
+/// Upper bound of the lease of a host's entry, in milliseconds.
 const MAX_LEASE_MS: u64 = 600_000;
 
-/// Longest time of a planned stop, in seconds.
+/// Upper bound of the duration of a graceful stop, in seconds.
 const MAX_STOP_TIMEOUT_S: u64 = 3_600;
 
 impl Settings {
-    /// Reads settings from a JSON file.
+    /// Loads settings from a JSON file.
     ///
     /// # Errors
     ///
-    /// Returns every finding if there is at least one. A file that cannot be read is a finding.
+    /// Returns all findings. A file that cannot be read is a finding.
     pub fn load(file: &path::Path) -> Result<Self, Vec<Finding>> {
         match fs::read_to_string(file) {
             Ok(text) => Self::parse(&text),
@@ -76,11 +78,11 @@
         }
     }
 
-    /// Reads settings from JSON text.
+    /// Parses settings from JSON text.
     ///
     /// # Errors
     ///
-    /// Returns every finding if there is at least one.
+    /// Returns all findings.
     pub fn parse(text: &str) -> Result<Self, Vec<Finding>> {
         let document: serde_json::Value =
             serde_json::from_str(text).map_err(|e| vec![document_finding(e.to_string())])?;
@@ -93,7 +95,7 @@
     }
 }
 
-/// Finding about the document as a whole.
+/// Creates a finding about the whole document.
 fn document_finding(fault: String) -> Finding {
     Finding {
         place: "$".to_owned(),
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the two threads of a host share.
+//! State shared by the control and the traffic thread of a host.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,53 +12,55 @@
 use pistachiochute_messages::peer;
 use tokio::sync::watch;
 
-/// What the host believes, at one moment.
+/// Immutable snapshot of the routing state.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Grows with each change.
+    /// Incremented with each published view.
     pub generation: u64,
-    /// Catalog in force, or `None` before the first one.
+    /// Catalog in force, or `None` before the first one arrives.
     pub catalog: Option<Arc<catalog::Catalog>>,
-    /// Endpoints that new requests may be sent to.
+    /// Endpoints that take new requests.
     pub endpoints: Vec<Arc<directory::Endpoint>>,
-    /// Endpoints that finish what they have before they leave.
+    /// Draining endpoints: they finish their requests and take no new ones.
     pub leaving: Vec<Arc<directory::Endpoint>>,
-    /// Hosts of the fleet, this one included.
+    /// Number of live hosts of the fleet, including this one.
     pub hosts: u32,
 }
 
 impl View {
-    /// Whether requests can be served.
+    /// Whether there is a catalog and at least one endpoint, so that requests can be served.
     #[must_use]
     pub fn can_serve(&self) -> bool {
         self.catalog.is_some() && !self.endpoints.is_empty()
     }
 }
 
-/// Steps of a planned stop.
+/// Phases of a graceful stop, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// The host serves.
+    /// Normal operation.
     Serving,
-    /// The host is not ready and asks callers to leave; it still serves whoever comes.
+    /// The health check fails and answers carry `Connection: close`, but requests are still
+    /// accepted.
     Leaving,
-    /// Idle connections are closed, and the last requests are finished.
+    /// Idle connections are closed, and the remaining requests are finished.
     Closing,
-    /// No request is left.
+    /// All requests have ended or were cut off.
     Stopped,
 }
 
-/// State that the threads share.
+/// State shared by the two threads.
 #[derive(Debug)]
 pub struct Shared {
     view: ArcSwap<View>,
     remote_loads: ArcSwap<load_reports::WorkByEndpoint>,
     local_loads: ArcSwap<Vec<load::EndpointLoad>>,
-    /// Parts of prompts that endpoints read for this host, for the others.
+    /// Prompt parts that endpoints cached for this host, to be sent to other hosts.
     pub local_cached_parts: SegQueue<peer::CachedPart>,
-    /// Parts of prompts that endpoints read for other hosts.
+    /// Prompt parts that endpoints cached for other hosts.
     pub remote_cached_parts: SegQueue<peer::CachedPart>,
-    /// When the catalog was last known to be the newest one, in microseconds of the host's clock.
+    /// When the catalog was last confirmed to be the newest one, in microseconds of the host's
+    /// clock.
     catalog_confirmed_micros: AtomicU64,
     phase: watch::Sender<Phase>,
 }
@@ -78,64 +80,64 @@
 }
 
 impl Shared {
-    /// What the host believes now.
+    /// Current view.
     #[must_use]
     pub fn view(&self) -> arc_swap::Guard<Arc<View>> {
         self.view.load()
     }
 
-    /// Publishes what the host believes.
+    /// Replaces the view.
     pub fn publish(&self, view: View) {
         self.view.store(Arc::new(view));
     }
 
-    /// Work of the other hosts.
+    /// Load that the other hosts put on endpoints.
     #[must_use]
     pub fn remote_loads(&self) -> arc_swap::Guard<Arc<load_reports::WorkByEndpoint>> {
         self.remote_loads.load()
     }
 
-    /// Publishes the work of the other hosts.
+    /// Replaces the load of the other hosts.
     pub fn publish_remote_loads(&self, loads: load_reports::WorkByEndpoint) {
         self.remote_loads.store(Arc::new(loads));
     }
 
-    /// Work of this host.
+    /// Load that this host puts on endpoints.
     #[must_use]
     pub fn local_loads(&self) -> Arc<Vec<load::EndpointLoad>> {
         self.local_loads.load_full()
     }
 
-    /// Publishes the work of this host.
+    /// Replaces the load of this host.
     pub fn publish_local_loads(&self, loads: Vec<load::EndpointLoad>) {
         self.local_loads.store(Arc::new(loads));
     }
 
-    /// Notes that the catalog was the newest one at a time.
+    /// Records that the catalog was the newest one at a point in time.
     pub fn confirm_catalog(&self, at: time::Time) {
         self.catalog_confirmed_micros
             .fetch_max(at.as_micros(), Ordering::Relaxed);
     }
 
-    /// Time since the catalog was known to be the newest one.
+    /// Time since the catalog was last confirmed to be the newest one.
     #[must_use]
     pub fn catalog_age(&self, now: time::Time) -> Duration {
         let at = time::Time::from_micros(self.catalog_confirmed_micros.load(Ordering::Relaxed));
         now.since(at)
     }
 
-    /// Step of the planned stop.
+    /// Current phase.
     #[must_use]
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Goes on to a step of the planned stop.
+    /// Enters a phase of the graceful stop.
     pub fn enter_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
     }
 
-    /// Follows the steps of the planned stop.
+    /// Subscribes to changes of the phase.
     #[must_use]
     pub fn subscribe_phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Sockets.
+//! TCP sockets with the options that the gateway needs.
 
 use std::time::Duration;
 use std::{io, net};
@@ -6,23 +6,23 @@
 use socket2::SockRef;
 use tokio::net as tokio_net;
 
-/// Connections that may wait to be accepted.
+/// Established connections that may wait to be accepted.
 const ACCEPT_BACKLOG: i32 = 1_024;
 
-/// Time for which sent bytes may stay unacknowledged before the connection counts as lost.
+/// Time for which sent bytes may stay unacknowledged before the kernel drops the connection.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Idle time after which a connection is probed, and time between two probes.
+/// Idle time before the first TCP keepalive probe, and time between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Unanswered probes after which a connection counts as lost.
+/// Unanswered keepalive probes after which the kernel drops the connection.
 const KEEPALIVE_PROBES: u32 = 2;
 
 /// Binds a listening socket.
 ///
 /// # Errors
 ///
-/// Returns the error of the system.
+/// Returns the I/O error of the system.
 pub fn listen(address: net::SocketAddr) -> io::Result<net::TcpListener> {
     let domain = socket2::Domain::for_address(address);
     let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
@@ -33,11 +33,11 @@
     Ok(socket.into())
 }
 
-/// Makes a connection that notices when the other end is gone without a word.
+/// Opens a connection with keepalive, which detects that the peer is gone without closing it.
 ///
 /// # Errors
 ///
-/// Returns the error of the system, or a timeout.
+/// Returns the I/O error of the system, or [`io::ErrorKind::TimedOut`].
 pub async fn connect(
     address: net::SocketAddr,
     timeout: Duration,
@@ -50,11 +50,12 @@
     Ok(stream)
 }
 
-/// Pause after a connection could not be accepted: it failed before, or the process is out of
-/// descriptors.
+/// Delay after a failed accept: the connection was reset before it was accepted, or the process
+/// has no free file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(5);
 
-/// Accepts the next connection and sets its options. What fails concerns that connection alone.
+/// Accepts the next connection and sets its options. An error affects only that connection, so the
+/// next one is accepted.
 pub async fn accept(listener: &tokio_net::TcpListener) -> tokio_net::TcpStream {
     loop {
         match listener.accept().await {
@@ -65,11 +66,7 @@
     }
 }
 
-/// Sets the options of a new connection.
-///
-/// # Errors
-///
-/// Returns the error of the system.
+/// Disables Nagle's algorithm and enables keepalive on a new connection.
 fn set_options(stream: &tokio_net::TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
