--- a/crates/gateway/src/control/links/cached_parts.rs
+++ b/crates/gateway/src/control/links/cached_parts.rs
@@ -10,8 +10,8 @@
 pub(in crate::control) fn broadcast_cached_parts<D, S>(cx: &Context<D, S>) {
     let parts: Vec<_> = std::iter::from_fn(|| cx.shared.local_cached_parts.pop()).collect();
     // In a large fleet each host goes by the homes of prompts alone.
-    let is_small = cx.state.borrow().overlay.role == Role::Mesh;
-    if parts.is_empty() || !is_small {
+    let is_full_mesh = cx.state.borrow().overlay.role == Role::Mesh;
+    if parts.is_empty() || !is_full_mesh {
         return;
     }
     cx.state
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -14,7 +14,7 @@
 use crate::shared;
 
 /// Silence after which a relay no longer brings news.
-const RELAY_TIMEOUT: Duration = Duration::from_millis(1_800);
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_800);
 
 /// Time without an answer of the store after which a relay has no news to bring.
 const RELAY_STORE_TIMEOUT: Duration = Duration::from_millis(3_500);
@@ -141,7 +141,7 @@
     /// Other hosts that spoke lately.
     #[must_use]
     pub fn live_peers(&self, now: time::Time) -> usize {
-        let is_live = |peer: &&PeerStatus| now.since(peer.last_heard) < RELAY_TIMEOUT;
+        let is_live = |peer: &&PeerStatus| now.since(peer.last_heard) < PEER_TIMEOUT;
         self.peers.values().filter(is_live).count()
     }
 
@@ -162,13 +162,15 @@
     /// Whether a relay brings the news of the store, so that this host need not follow it.
     #[must_use]
     pub fn has_live_relay(&self, now: time::Time) -> bool {
-        let follows = |peer: &PeerStatus| {
+        let is_current = |peer: &PeerStatus| {
             let answered = Duration::from_millis(u64::from(peer.store.answered_ms));
-            now.since(peer.last_heard) < RELAY_TIMEOUT && answered < RELAY_STORE_TIMEOUT
+            now.since(peer.last_heard) < PEER_TIMEOUT && answered < RELAY_STORE_TIMEOUT
         };
         let relays = self.overlay.relays.iter();
         self.overlay.role == overlay::Role::Member
-            && relays.filter_map(|name| self.peers.get(name)).any(follows)
+            && relays
+                .filter_map(|name| self.peers.get(name))
+                .any(is_current)
     }
 
     /// Remembers what endpoints hold, for hosts that come later.
@@ -184,8 +186,8 @@
     /// What endpoints hold.
     #[must_use]
     pub fn cached_parts(&self, now: time::Time) -> Vec<peer::CachedPart> {
-        let is_held = |at: &time::Time| now.since(*at) < prefix::RETENTION;
-        let held = self.cached_parts.iter().filter(|(_, at)| is_held(at));
-        held.map(|(part, _)| *part).collect()
+        let is_retained = |at: &time::Time| now.since(*at) < prefix::RETENTION;
+        let retained = self.cached_parts.iter().filter(|(_, at)| is_retained(at));
+        retained.map(|(part, _)| *part).collect()
     }
 }
