--- a/crates/messages/src/codec.rs
+++ b/crates/messages/src/codec.rs
@@ -1,10 +1,10 @@
-//! Frames: a little-endian `u32` length followed by a `bincode` value.
+//! Codec of the frames between hosts: a little-endian `u32` length followed by a `bincode` value.
 
 use std::fmt;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// Largest encoded value in a frame, in bytes.
+/// Largest encoded value of a frame, in bytes, without the length prefix.
 pub const MAX_FRAME_LEN: usize = 1 << 20;
 
 const LEN_BYTES: usize = 4;
@@ -12,18 +12,21 @@
 /// Why a frame could not be encoded or decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// The value is larger than [`MAX_FRAME_LEN`], in bytes.
+    /// The encoded value has this many bytes, which exceeds [`MAX_FRAME_LEN`].
     TooLarge(usize),
     /// The bytes are not a value of the expected type.
     Malformed(String),
-    /// Bytes are left over after the value.
+    /// This many bytes follow the value.
     Trailing(usize),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLarge(len) => write!(f, "frame of {len} bytes exceeds {MAX_FRAME_LEN}"),
+            Self::TooLarge(len) => write!(
+                f,
+                "frame of {len} bytes exceeds the limit of {MAX_FRAME_LEN} bytes"
+            ),
             Self::Malformed(cause) => write!(f, "frame is malformed: {cause}"),
             Self::Trailing(len) => write!(f, "frame has {len} bytes after its value"),
         }
@@ -40,7 +43,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`Error::TooLarge`] if the encoded value exceeds [`MAX_FRAME_LEN`].
+/// Returns [`Error::TooLarge`] if the encoded value exceeds [`MAX_FRAME_LEN`], and
+/// [`Error::Malformed`] if the value cannot be encoded.
 pub fn encode<T>(value: &T) -> Result<Bytes, Error>
 where
     T: serde::Serialize,
@@ -56,7 +60,7 @@
     Ok(buf.freeze())
 }
 
-/// Decodes the value of one frame without its length.
+/// Decodes the value of one frame, without the length prefix.
 ///
 /// # Errors
 ///
@@ -73,45 +77,45 @@
     }
 }
 
-/// Decodes bytes that are exactly one frame.
+/// Decodes a buffer that holds exactly one frame, with the length prefix.
 ///
 /// # Errors
 ///
-/// Returns an error if the bytes are not one whole frame of the type.
+/// Returns an error if the buffer is not one complete frame with a value of the type.
 pub fn decode_frame<T>(bytes: &[u8]) -> Result<T, Error>
 where
     T: serde::de::DeserializeOwned,
 {
     let mut decoder = Decoder::new();
     decoder.extend(bytes);
-    let cut = || Error::Malformed("frame is cut".to_owned());
-    let value = decoder.take()?.ok_or_else(cut)?;
+    let incomplete = || Error::Malformed("frame is incomplete".to_owned());
+    let value = decoder.take()?.ok_or_else(incomplete)?;
     match decoder.is_empty() {
         true => Ok(value),
         false => Err(Error::Trailing(decoder.take_rest().len())),
     }
 }
 
-/// Collects received bytes and splits them into frames.
+/// Buffers received bytes and splits them into frames.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    /// Bytes received and not yet taken. Invariant: no longer than one frame and one read.
+    /// Bytes received and not yet decoded. Invariant: no longer than one frame and one read.
     buf: BytesMut,
 }
 
 impl Decoder {
-    /// Makes a decoder without bytes.
+    /// Creates an empty decoder.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds received bytes.
+    /// Appends received bytes.
     pub fn extend(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole frame, or `None` if more bytes are needed.
+    /// Removes and decodes the next complete frame. Returns `None` if more bytes are needed.
     ///
     /// # Errors
     ///
@@ -135,12 +139,12 @@
         decode(&frame).map(Some)
     }
 
-    /// Takes the bytes that follow the frames taken so far.
+    /// Removes and returns all buffered bytes, which follow the frames decoded so far.
     pub fn take_rest(&mut self) -> Bytes {
         self.buf.split().freeze()
     }
 
-    /// Whether no bytes are left.
+    /// Whether no bytes are buffered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.buf.is_empty()
--- a/crates/messages/src/control.rs
+++ b/crates/messages/src/control.rs
@@ -1,21 +1,21 @@
-//! Control messages between hosts. Each is answered by one message.
+//! Control messages between hosts. Each gets one message in response.
 
 use pistachiochute_core::{entity, lists, membership, routing};
 
-/// A control message, or the answer to one.
+/// A control message, or the response to one. Encoded by position: the order of variants is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Message {
-    /// A probe of the membership.
+    /// A failure detection probe of the membership protocol.
     Probe(membership::Probe),
-    /// A message on the distribution of the lists. Answered by [`Message::Received`].
+    /// A message that distributes the lists. Acknowledged with [`Message::Received`].
     Lists {
-        /// Host that sends it.
+        /// Host that sends the message.
         from: entity::HostId,
         /// The message.
         message: lists::message::Message,
     },
-    /// Answer to a message that asks for none.
+    /// Acknowledges a message that needs no other response.
     Received,
-    /// Loads of the sender's endpoints.
+    /// Loads of the endpoints that the sender owns.
     Loads(routing::report::Report),
 }
--- a/crates/messages/src/forward.rs
+++ b/crates/messages/src/forward.rs
@@ -1,4 +1,4 @@
-//! Message of a forwarded request. Its answer is a sequence of
+//! Head of a request that one host forwards to another. The response is a sequence of
 //! [`answer::Frame`](pistachiochute_core::answer::Frame)s.
 
 use std::time::Duration;
@@ -6,48 +6,49 @@
 use bytes::Bytes;
 use pistachiochute_core::{entity, name, request, revision, units};
 
-/// Head of a request that an entry host forwards to the owner of an endpoint.
+/// Head of a request that an entry host forwards to the host that owns an endpoint. Encoded by
+/// position: the order of fields is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Forward {
-    /// Id of the request on every hop.
+    /// Id of the request, the same on every hop.
     pub request: request::RequestId,
-    /// Number of the attempt, from 0.
+    /// Number of the attempt, starting at 0.
     pub attempt: u8,
-    /// Number of hosts that the request has passed through.
+    /// Number of hosts that have forwarded the request.
     pub hops: u8,
     /// Entry host that sends the request.
     pub from: entity::HostId,
-    /// Endpoint that the request is for.
+    /// Endpoint that is to run the request.
     pub endpoint: entity::EndpointId,
     /// Account that the request is charged to.
     pub account: name::AccountName,
     /// Weight of the account in fair queueing, from its plan.
     pub weight: u32,
-    /// Priority that is passed to the engine, from the plan; larger is more urgent.
+    /// Priority for the engine, from the plan of the account. Larger is more urgent.
     pub priority: u8,
-    /// Model or service.
+    /// Model or service that is requested.
     pub target: request::Target,
-    /// Chat of the request, if it has one.
+    /// Chat that the request belongs to, if any.
     pub chat: Option<request::ChatKey>,
-    /// Whether the request may be sent again after it may have run.
+    /// Whether the request may be sent again although an earlier attempt may have run.
     pub idempotency: request::Idempotency,
-    /// Idempotency key of the caller.
+    /// Idempotency key that the caller sent.
     pub idempotency_key: Option<uuid::Uuid>,
-    /// Estimated work in tokens, prompt and answer.
+    /// Estimated cost of prompt and answer together, in tokens.
     pub cost: units::Tokens,
-    /// Estimated tokens of the prompt.
+    /// Estimated length of the prompt, in tokens.
     pub prompt: units::Tokens,
-    /// Time left until the deadline of the request.
+    /// Time until the deadline of the request when it is sent.
     pub remaining: Duration,
     /// Whether the request may wait in the queue of the endpoint.
     pub may_queue: bool,
-    /// Event id after which a cut stream is resumed.
+    /// Id of the last event that the caller has received, if an interrupted stream is resumed.
     pub resume_after: Option<u32>,
-    /// Whether the caller asked for a stream of events.
+    /// Whether the caller requested a stream of events.
     pub stream: bool,
-    /// Method at the endpoint.
+    /// Method of the request to the endpoint.
     pub method: Method,
-    /// Path and query at the endpoint.
+    /// Path and query of the request to the endpoint.
     pub path: Bytes,
     /// Content type of the body.
     pub content_type: Bytes,
@@ -55,26 +56,28 @@
     pub body_len: u64,
     /// Revision of the lists that admitted the request.
     pub revision: revision::Revision,
-    /// Load of the endpoints that the sender owns, which keeps the owner's mean fresh.
+    /// Loads of the endpoints that the sender owns. They keep the receiver's mean load of the pool
+    /// up to date.
     pub loads: smallvec::SmallVec<[LoadView; 4]>,
 }
 
 /// HTTP methods that are forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Method {
-    /// A read, which has no body.
+    /// GET, without a body.
     Get,
-    /// Any other call.
+    /// POST, for every other call.
     Post,
 }
 
-/// Load of the endpoints of one pool that one host owns.
+/// Load of an endpoint, as its owner reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct LoadView {
-    /// Endpoint that the load is of.
+    /// The endpoint.
     pub endpoint: entity::EndpointId,
-    /// Work in flight and queued at the endpoint, in estimated tokens or calls.
+    /// Work in flight and queued at the endpoint: estimated tokens of an engine, or calls of a
+    /// service.
     pub load: u64,
-    /// Age of the reading at the sender, in milliseconds.
+    /// Age of the value at the sender, in milliseconds.
     pub age_ms: u32,
 }
--- a/crates/messages/src/peer.rs
+++ b/crates/messages/src/peer.rs
@@ -1,7 +1,7 @@
 //! Messages between hosts that call endpoints directly.
 //!
-//! A host sends its messages to another host on one long stream of frames, and gets that host's
-//! messages on a stream that the other host opens.
+//! Each host opens one long-lived stream to every peer and sends its messages on it as frames. The
+//! peer's messages arrive on the stream that the peer opens.
 
 use std::net;
 use std::sync::Arc;
@@ -9,16 +9,16 @@
 use pistachiochute_core::choice::load;
 use pistachiochute_core::{catalog, directory, revision};
 
-/// A part of prompts that an endpoint reads, and so holds for a while.
+/// A part of a prompt that an endpoint processes and therefore keeps in its cache for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct CachedPart {
-    /// Key of the part.
+    /// Key of the part, from `prompt::part_key`.
     pub part: u64,
     /// Hash of the endpoint's identity.
     pub endpoint: u64,
 }
 
-/// How much of the configuration and of the endpoints a host knows.
+/// Versions of the catalog and of the endpoint entries that a host has.
 #[derive(
     Clone,
     Copy,
@@ -32,72 +32,75 @@
     serde::Deserialize,
 )]
 pub struct StateVersion {
-    /// Version of the catalog in force.
+    /// Version of the host's current catalog, or `None` if it has none.
     pub catalog: Option<catalog::Version>,
-    /// Revision up to and with which all changes of the endpoints in use are known.
+    /// Revision of the store up to which, inclusively, the host has all changes of the endpoints
+    /// in use.
     pub endpoints: revision::Revision,
 }
 
-/// One entry of the endpoints.
+/// The last state of one endpoint entry in the store.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct EndpointRecord {
-    /// Key of the entry.
+    /// Key of the entry in the store.
     pub key: Arc<str>,
-    /// Revision of its last change.
+    /// Revision of the last change.
     pub revision: revision::Revision,
-    /// The endpoint, or `None` if the entry is gone or cannot be used.
+    /// The endpoint, or `None` if the entry was removed or could not be decoded.
     pub endpoint: Option<directory::Endpoint>,
 }
 
-/// How a host fares with its calls to the store, in milliseconds before the message.
+/// Health of a host's connection to the store. Each field is an age when the message is sent, in
+/// milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct StoreHealth {
-    /// Since when the host's catalog was known to be the newest one.
+    /// Time since the host last confirmed that its catalog was the newest one.
     pub catalog_age_ms: u32,
-    /// Since when every call was answered.
+    /// Time since which every call to the store has been answered.
     pub steady_ms: u32,
-    /// When the last call was answered.
+    /// Time since the last answer of the store.
     pub answered_ms: u32,
 }
 
-/// A message to another host.
+/// A message to another host. Encoded by position: the order of variants and fields is fixed.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Message {
-    /// Names the sender. First on each stream.
+    /// Identifies the sender. The first message on each stream.
     Hello {
         /// Name of the sending host.
         host: Arc<str>,
-        /// Address of its links.
+        /// Address at which the sender accepts streams of other hosts.
         links: net::SocketAddr,
-        /// Its failure domain.
+        /// Failure domain of the sender.
         domain: Arc<str>,
         /// Time since the sender started, in milliseconds.
         up_ms: u32,
     },
-    /// What the sender knows and does.
+    /// Periodic status of the sender.
     Status {
-        /// What the sender knows.
+        /// Versions that the sender has.
         known: StateVersion,
-        /// The sender's calls to the store.
+        /// Health of the sender's connection to the store.
         store: StoreHealth,
-        /// Work of the sender, or `None` if it is as before.
+        /// Load that the sender puts on each endpoint, or `None` if unchanged since the last one.
         loads: Option<Vec<load::EndpointLoad>>,
     },
-    /// Work of other hosts that a relay carries: to a relay of another domain that of its own
-    /// domain, to a host of its domain that of everyone else.
+    /// Endpoint loads of other hosts, aggregated by a relay: for a relay of another domain, the
+    /// loads of the sender's domain; for a host of its own domain, the loads of all other hosts.
     Carried(Vec<load::EndpointLoad>),
-    /// Parts of prompts that endpoints began to read for the sender; on a new link, all that it
-    /// knows of.
+    /// Prompt parts that endpoints started to process for the sender. On a new stream, all parts
+    /// that the sender has a record of.
     Holdings(Vec<CachedPart>),
-    /// Asks for what is newer than what the sender knows.
+    /// Requests the catalog and the endpoint records that are newer than these versions.
     Want(StateVersion),
-    /// A catalog, in answer to a [`Message::Want`].
+    /// A catalog, in response to [`Message::Want`].
     Catalog(Box<catalog::Content>),
-    /// Endpoints, in answer to a [`Message::Want`].
+    /// Endpoint records, in response to [`Message::Want`].
     Endpoints {
-        /// All changes up to and with this revision are among the records, or known already.
+        /// Revision up to which, inclusively, the receiver has all changes once it has applied the
+        /// records.
         complete: revision::Revision,
-        /// Newer records.
+        /// Records that are newer than the requested versions.
         records: Vec<EndpointRecord>,
     },
 }
--- a/crates/messages/tests/decoders.rs
+++ b/crates/messages/tests/decoders.rs
@@ -1,4 +1,5 @@
-//! Decoders of messages between hosts take any bytes without panic and within bounded memory.
+//! The decoders of messages between hosts accept arbitrary bytes without a panic and within bounded
+//! memory: a length prefix above the bound is rejected before the frame arrives.
 
 use pistachiochute_core::answer;
 use pistachiochute_messages::{codec, forward};
@@ -15,8 +16,8 @@
     }
 }
 
-/// Takes frames until the decoder needs more bytes or fails.
-fn drain<T>(decoder: &mut codec::Decoder) -> usize
+/// Decodes frames until the decoder needs more bytes or fails. Returns the number of frames.
+fn decode_all<T>(decoder: &mut codec::Decoder) -> usize
 where
     T: serde::de::DeserializeOwned,
 {
@@ -41,20 +42,20 @@
         reads in collection::vec(collection::vec(any::<u8>(), 0..80), 0..20),
     ) {
         let mut decoder = codec::Decoder::new();
-        let mut given = 0;
+        let mut received = 0;
         for read in reads {
-            given += read.len();
+            received += read.len();
             decoder.extend(&read);
-            let frames = drain::<answer::Frame>(&mut decoder);
-            prop_assert!(frames <= given);
+            let frames = decode_all::<answer::Frame>(&mut decoder);
+            prop_assert!(frames <= received);
         }
     }
 }
 
 #[test]
-fn a_frame_that_claims_too_much_is_refused_at_its_length() {
+fn oversized_length_prefix_is_rejected() {
     let mut decoder = codec::Decoder::new();
     decoder.extend(&u32::MAX.to_le_bytes());
-    let claimed = decoder.take::<answer::Frame>();
-    assert_eq!(claimed, Err(codec::Error::TooLarge(u32::MAX as usize)));
+    let result = decoder.take::<answer::Frame>();
+    assert_eq!(result, Err(codec::Error::TooLarge(u32::MAX as usize)));
 }
