--- a/crates/gateway/src/control/cache_recovery.rs
+++ b/crates/gateway/src/control/cache_recovery.rs
@@ -1,8 +1,8 @@
-//! Learns what the engines hold in their caches when the whole fleet has lost that knowledge.
+//! Recovery of the index of cached prompt parts after all hosts were lost.
 //!
-//! A host that starts beside others hears it from them. After all hosts were lost, each host asks
-//! the engines that fall to it, and tells the others: reading a prompt again costs an engine far
-//! more than the question.
+//! A host that joins a running fleet gets the index from the other hosts. After all hosts were
+//! lost, each host queries the engines that are assigned to it and sends the result to the others:
+//! a query costs an engine far less than to process a prompt again.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,19 +17,19 @@
 use crate::control::{Context, links};
 use crate::{adapter, http_client, shared};
 
-/// Time that the other hosts have to tell what they know.
+/// Time in which other hosts can send their index.
 const PEER_WAIT: Duration = Duration::from_millis(200);
 
-/// Time for which another host has been up that knows what engines hold.
+/// Uptime from which on another host counts as having an index.
 const INFORMED_PEER_UPTIME: Duration = Duration::from_secs(4);
 
-/// Time in which an engine answers.
+/// Time in which an engine must answer.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Time between two looks at whether the host knows its endpoints.
+/// Interval at which the host checks whether it has a catalog and endpoints.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Asks the engines that fall to this host, unless other hosts told what they hold.
+/// Queries the engines that are assigned to this host, unless another host has an index.
 pub(super) async fn recover<D, S>(cx: Rc<Context<D, S>>)
 where
     D: adapter::Dialect,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Endpoints that hold prompts.
+/// Endpoints that cache prompts.
 fn engines(view: &shared::View) -> Vec<Arc<directory::Endpoint>> {
     let Some(catalog) = &view.catalog else {
         return Vec::new();
@@ -63,7 +63,7 @@
     view.endpoints.iter().filter(is_engine).cloned().collect()
 }
 
-/// Whether this host, of all hosts, asks an endpoint.
+/// Whether an endpoint is assigned to this host, by rendezvous hashing over all hosts.
 fn is_assigned_here<D, S>(cx: &Context<D, S>, endpoint: &directory::Endpoint) -> bool {
     let state = cx.state.borrow();
     let key = endpoint.identity.hash();
--- a/crates/gateway/src/control/host_registry.rs
+++ b/crates/gateway/src/control/host_registry.rs
@@ -1,4 +1,4 @@
-//! The entry of this host in the store, and the entries of the others.
+//! Registration of this host in the store, and discovery of the others from their entries.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -12,19 +12,19 @@
 use crate::control::state::HostEntry;
 use crate::control::{Context, HOSTS_PREFIX, sync};
 
-/// Renewals within the time of one lease.
+/// Lease renewals per time to live.
 const RENEWALS_PER_TTL: u32 = 3;
 
-/// Time that a host that has stopped takes to remove its entry.
+/// Time that a stopping host waits for the removal of its entry.
 const REVOKE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Pause between two watches of the hosts: when many start together, one answer carries them.
+/// Delay between two watches of the hosts: when many start at once, one answer carries them all.
 const WATCH_DELAY: Duration = Duration::from_millis(400);
 
-/// Time between two reads of the hosts by one that others feed.
+/// Interval at which a host with a live relay reads the list of hosts.
 const RELAYED_REFRESH_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Keeps the entry of this host, under a lease that ends if the host falls silent.
+/// Keeps this host registered under a lease, which expires if the host stops renewing it.
 pub(super) async fn keep_registered<D, S>(cx: Rc<Context<D, S>>)
 where
     D: adapter::Dialect,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Writes the entry and renews its lease until that ends or a call fails.
+/// Writes the entry and renews its lease until the lease expires or a call fails.
 async fn register_once<D, S>(cx: &Context<D, S>) -> Result<(), key_value::Error>
 where
     D: adapter::Dialect,
@@ -64,18 +64,19 @@
     }
 }
 
-/// Removes the entry of a host that has stopped, so that others need not wait for its lease.
+/// Removes the entry of this host when it stops, so that others need not wait for its lease to
+/// expire.
 pub(super) async fn deregister<D, S>(cx: &Context<D, S>)
 where
     D: adapter::Dialect,
     S: adapter::Store,
 {
     let Some(lease) = cx.lease.take() else { return };
-    // The lease ends by itself if this call is lost.
+    // If the call is lost, the lease expires by itself.
     drop(tokio::time::timeout(REVOKE_TIMEOUT, cx.store.revoke(lease)).await);
 }
 
-/// Follows the entries of the hosts.
+/// Keeps the list of hosts in sync with the store.
 pub(super) async fn sync_hosts<D, S>(cx: Rc<Context<D, S>>)
 where
     D: adapter::Dialect,
@@ -92,7 +93,7 @@
     S: adapter::Store,
 {
     loop {
-        // A host that others feed only has to know its relays, which change seldom.
+        // A host with a live relay only needs to know its relays, which seldom change.
         let consistency = match cx.has_live_relay() {
             true => adapter::Consistency::Stale,
             false => adapter::Consistency::Linearizable,
--- a/crates/gateway/src/control/links/cached_parts.rs
+++ b/crates/gateway/src/control/links/cached_parts.rs
@@ -1,4 +1,4 @@
-//! What engines hold in their caches, as hosts tell each other.
+//! Exchange of the prompt parts in the caches of engines between hosts.
 
 use pistachiochute_core::membership::overlay::Role;
 use pistachiochute_messages::peer;
@@ -6,10 +6,10 @@
 
 use crate::control::Context;
 
-/// Tells the other hosts which parts of prompts endpoints read for this one.
+/// Sends the other hosts the prompt parts that endpoints have cached for this one.
 pub(in crate::control) fn broadcast_cached_parts<D, S>(cx: &Context<D, S>) {
     let parts: Vec<_> = std::iter::from_fn(|| cx.shared.local_cached_parts.pop()).collect();
-    // In a large fleet each host goes by the homes of prompts alone.
+    // In a large fleet, hosts rely on the home endpoints of prompts alone.
     let is_full_mesh = cx.state.borrow().overlay.role == Role::Mesh;
     if parts.is_empty() || !is_full_mesh {
         return;
@@ -18,12 +18,12 @@
         .borrow_mut()
         .record_cached_parts(&parts, clock::now());
     for outbox in cx.state.borrow().outboxes.values() {
-        // A host that misses it has a prompt read again at worst.
+        // A lost message at worst makes an endpoint read a prompt again.
         drop(outbox.try_send(peer::Message::Holdings(parts.clone())));
     }
 }
 
-/// Takes in what endpoints hold, for this host.
+/// Applies prompt parts that another host or a query of an engine found to be cached.
 pub(in crate::control) fn apply_cached_parts<D, S>(cx: &Context<D, S>, parts: &[peer::CachedPart]) {
     cx.state
         .borrow_mut()
--- a/crates/gateway/src/control/links/incoming.rs
+++ b/crates/gateway/src/control/links/incoming.rs
@@ -1,4 +1,4 @@
-//! Takes in what other hosts send.
+//! Receives and handles messages of other hosts.
 
 use std::net;
 use std::rc::Rc;
@@ -28,7 +28,7 @@
     loop {
         let stream = sockets::accept(&listener).await;
         let cx = cx.clone();
-        // The other host makes a lost link again, and says so in its own log.
+        // The peer logs a lost link and opens it again.
         tokio::task::spawn_local(async move { drop(receive(cx, stream).await) });
     }
 }
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// Takes in that a host made a link to this one.
+/// Registers a host that opened a link to this one.
 fn register_peer<D, S>(cx: &Context<D, S>, host: &Arc<str>, entry: HostEntry, up_ms: u32) {
     let up = Duration::from_millis(u64::from(up_ms));
     cx.max_peer_uptime.set(cx.max_peer_uptime.get().max(up));
@@ -167,7 +167,7 @@
     }
 }
 
-/// Sends a host what it lacks.
+/// Sends a host the catalog and the endpoints that are newer than its own.
 fn send_updates<D, S>(cx: &Rc<Context<D, S>>, host: &Arc<str>, theirs: peer::StateVersion) {
     let state = cx.state.borrow();
     let Some(outbox) = state.outboxes.get(host) else {
@@ -192,7 +192,7 @@
         records,
     });
     for message in messages {
-        // A full outbox belongs to a link that does not move; the host asks again.
+        // If the outbox is full, the link is stalled, and the host repeats its request later.
         drop(outbox.try_send(message));
     }
 }
--- a/crates/gateway/src/control/links/mod.rs
+++ b/crates/gateway/src/control/links/mod.rs
@@ -1,7 +1,7 @@
-//! Links to other hosts: each host sends what it knows and does on a stream of its own.
+//! Links to other hosts. Each host sends its messages on an HTTP/2 stream that it opens itself.
 //!
-//! [`outgoing`] says what has to be sent, [`incoming`] takes in what others send, and [`cached_parts`] is about
-//! what engines hold in their caches.
+//! [`outgoing`] decides what to send, [`incoming`] handles received messages, and [`cached_parts`]
+//! distributes the prompt parts in the caches of engines.
 
 mod cached_parts;
 mod incoming;
@@ -29,19 +29,19 @@
 pub(super) use cached_parts::{apply_cached_parts, broadcast_cached_parts};
 pub(super) use incoming::accept;
 
-/// Time to make a connection.
+/// Time in which a connection must be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Time between two looks at what has to be sent.
+/// Interval at which due messages are sent and the set of links is updated.
 const SEND_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Pause before a lost link is made again.
+/// Delay before a lost link is opened again, before jitter.
 const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
-/// Messages that may wait for one host.
+/// Queued messages per link.
 const OUTBOX_CAPACITY: usize = 16;
 
-/// Keeps a link to every host that this one talks to.
+/// Maintains a link to every host that the overlay assigns to this one.
 pub(super) async fn maintain_links<D, S>(cx: Rc<Context<D, S>>)
 where
     D: adapter::Dialect,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Hosts that this one talks to, with the addresses of their links.
+/// Hosts to maintain links to, with the addresses that they accept links on.
 fn link_targets<D, S>(cx: &Context<D, S>) -> HashMap<Arc<str>, net::SocketAddr> {
     let state = cx.state.borrow();
     let links = state.overlay.links.iter();
@@ -77,7 +77,7 @@
         .collect()
 }
 
-/// Keeps one link until it is aborted.
+/// Maintains one link, and opens it again when it is lost, until the task is aborted.
 async fn maintain_link<D, S>(cx: Rc<Context<D, S>>, name: Arc<str>, address: net::SocketAddr)
 where
     D: adapter::Dialect,
@@ -134,7 +134,7 @@
     tx.send_data(frame, false).wrap_err("link")
 }
 
-/// Sends status and answers on a link until it is lost.
+/// Sends status, requests and queued messages on a link until it is lost.
 async fn send_messages<D, S>(
     cx: &Rc<Context<D, S>>,
     name: &Arc<str>,
@@ -175,14 +175,14 @@
         if let Some(want) = catch_up.due_request(cx, name) {
             send(tx, &peer::Message::Want(want))?;
         }
-        // A stream that was reset shows it here, whether or not there was something to send.
+        // Detects a reset stream even if there was nothing to send.
         if is_reset(tx) {
             eyre::bail!("stream was reset");
         }
     }
 }
 
-/// Whether the other end has reset the stream.
+/// Whether the peer has reset the stream.
 fn is_reset(tx: &mut h2::SendStream<Bytes>) -> bool {
     let mut cx = std::task::Context::from_waker(std::task::Waker::noop());
     tx.poll_reset(&mut cx).is_ready()
--- a/crates/gateway/src/control/links/outgoing.rs
+++ b/crates/gateway/src/control/links/outgoing.rs
@@ -1,4 +1,4 @@
-//! What has to be sent on a link.
+//! Messages that are due on a link.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,20 +12,20 @@
 use crate::adapter;
 use crate::control::Context;
 
-/// Longest time between two messages on a link.
+/// Longest time between two status messages on a link.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Time for which a host may know more about endpoints before it is asked: the store usually
-/// tells everyone meanwhile.
+/// Time for which another host may have newer endpoints before this one requests them. Within it,
+/// this host usually gets them from the store.
 const ENDPOINTS_REQUEST_DELAY: Duration = Duration::from_millis(600);
 
-/// Time for which a host may know a newer catalog before it is asked.
+/// Time for which another host may have a newer catalog before this one requests it.
 const CATALOG_REQUEST_DELAY: Duration = Duration::from_millis(150);
 
-/// Shortest time between two questions to the same host.
+/// Shortest time between two requests to the same host.
 const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What was last sent on a link.
+/// State last sent on a link.
 #[derive(Default)]
 pub(super) struct SentState {
     known: Option<peer::StateVersion>,
@@ -35,7 +35,7 @@
 }
 
 impl SentState {
-    /// The status, if it is due.
+    /// Status message, if the state has changed or a heartbeat is due.
     pub(super) fn due_status<D, S>(&mut self, cx: &Context<D, S>) -> Option<peer::Message>
     where
         D: adapter::Dialect,
@@ -60,7 +60,7 @@
         })
     }
 
-    /// The work of others that this host carries to another one, if it changed.
+    /// Load of other hosts that this host relays to the peer, if it has changed.
     pub(super) fn due_relayed_loads<D, S>(
         &mut self,
         cx: &Context<D, S>,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Since when another host has known more.
+/// Requests for newer state from the host at the other end of a link.
 #[derive(Default)]
 pub(super) struct CatchUp {
     behind_since: Option<time::Time>,
@@ -99,7 +99,7 @@
 }
 
 impl CatchUp {
-    /// What to ask the host for, if it has known more for long enough.
+    /// Version to request changes after, if the peer has been ahead for long enough.
     pub(super) fn due_request<D, S>(
         &mut self,
         cx: &Context<D, S>,
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,9 +1,9 @@
-//! What the host believes, and where it learns it.
+//! Control thread: maintains the catalog, the endpoints and the list of hosts.
 //!
-//! One thread keeps the catalog, the endpoints and the other hosts. [`sync`] follows the store,
-//! [`host_registry`] keeps the entry of this host in it, and [`links`] exchanges news with other hosts, so
-//! that a host which the store turns away learns from those that it answers. [`cache_recovery`] asks the
-//! engines what they hold after the whole fleet was lost.
+//! [`sync`] reads and watches the entries of the store, and [`host_registry`] registers this host
+//! there. [`links`] exchanges changes with other hosts, so that a host that cannot reach the store
+//! gets them from those that can. [`cache_recovery`] queries the caches of engines after all hosts
+//! were lost.
 
 mod cache_recovery;
 mod host_registry;
@@ -27,13 +27,13 @@
 
 use state::State;
 
-/// Start of the keys of the entries of hosts.
+/// Key prefix of the store entries of hosts.
 const HOSTS_PREFIX: &str = "hosts/";
 
-/// Time between two looks at what waits for its time.
+/// Interval of periodic work.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What every task of the control thread uses.
+/// Context shared by the tasks of the control thread.
 struct Context<D, S> {
     dialect: D,
     store: S,
@@ -42,23 +42,24 @@
     events: events::Events,
     metrics: metrics::Metrics,
     state: RefCell<State>,
-    /// Whether the store answered the last call.
+    /// Whether the catalog sync can reach the store.
     store_available: Cell<bool>,
-    /// Wakes the tasks that wait for the store to come back.
+    /// Wakes the tasks that wait until the store is reachable again.
     store_recovered: Notify,
-    /// Asks for a look at whether the store answers.
+    /// Makes the catalog sync check whether the store is reachable, after a call of another task
+    /// failed.
     store_suspect: Notify,
-    /// Since when every call to the store was answered.
+    /// Since when the store has been reachable without a break; in the far future while it is not.
     steady_since: Cell<time::Time>,
-    /// When the store answered last.
+    /// When the store last answered a call.
     last_store_response: Cell<time::Time>,
-    /// Calls in a row that failed while the store was taken to answer.
+    /// Consecutive failed calls while the store counted as reachable, for the backoff.
     store_failures: Cell<u32>,
-    /// Lease of this host's entry.
+    /// Lease of this host's store entry.
     lease: Cell<Option<key_value::LeaseId>>,
     /// When this host started.
     started: time::Time,
-    /// How long the host had been up that had been up longest when its link was made.
+    /// Longest uptime that another host stated when it opened its link.
     max_peer_uptime: Cell<Duration>,
 }
 
@@ -125,7 +126,7 @@
     D: adapter::Dialect,
     S: adapter::Store,
 {
-    /// Takes over a catalog if it is newer, and publishes it.
+    /// Applies and publishes a catalog if it is newer than the current one.
     fn offer_catalog(&self, content: catalog::Content, source: events::Source) {
         let version = content.version;
         let result = self.state.borrow_mut().catalog.update(content);
@@ -135,13 +136,13 @@
         }
     }
 
-    /// Publishes what the host believes.
+    /// Publishes a view of the current state to the traffic thread.
     fn publish(&self) {
         let view = self.state.borrow_mut().view(clock::now());
         self.shared.publish(view);
     }
 
-    /// Notes whether a call to the store was answered.
+    /// Records the result of a call that decides whether the store counts as reachable.
     fn record_store_call(&self, answered: bool, cause: &str) {
         let now = clock::now();
         self.state
@@ -164,13 +165,13 @@
         }
     }
 
-    /// Notes that the store answered a call.
+    /// Records that the store answered a call that does not decide whether it counts as reachable.
     fn record_store_response(&self) {
         self.last_store_response.set(clock::now());
         self.store_failures.set(0);
     }
 
-    /// How this host fares with its calls to the store.
+    /// Health of this host's connection to the store.
     fn store_calls(&self, now: time::Time) -> peer::StoreHealth {
         let millis = |span: Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
         peer::StoreHealth {
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Shows in the metrics what the host believes.
+    /// Updates the gauges of the host's state.
     fn update_gauges(&self, now: time::Time) {
         let state = self.state.borrow();
         self.metrics.believes(&metrics::Beliefs {
@@ -192,17 +193,18 @@
         });
     }
 
-    /// Whether a relay brings the news of the store.
+    /// Whether a relay supplies changes of the store to this host.
     fn has_live_relay(&self) -> bool {
         self.state.borrow().has_live_relay(clock::now())
     }
 
-    /// What this host knows.
+    /// Version of this host's catalog and endpoints.
     fn state_version(&self) -> peer::StateVersion {
         self.state.borrow().state_version()
     }
 
-    /// Does what is due by time alone.
+    /// Runs the periodic work: expires endpoints, hosts and load reports, recomputes the overlay,
+    /// and publishes loads, metrics and cached prompt parts.
     fn tick(&self) {
         let now = clock::now();
         let lapsed = self.state.borrow_mut().directory.tick(now);
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -13,37 +13,37 @@
 
 use crate::shared;
 
-/// Silence after which a relay no longer brings news.
+/// Silence after which a peer counts as gone, so that a relay no longer supplies changes.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_800);
 
-/// Time without an answer of the store after which a relay has no news to bring.
+/// Time since the store last answered a relay, after which the relay no longer supplies changes.
 const RELAY_STORE_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// Most holdings that are remembered without a look at their age.
+/// Number of cached prompt parts above which old ones are evicted.
 const MAX_CACHED_PARTS: usize = 8_192;
 
-/// Entry of a host in the store.
+/// Store entry of a host.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostEntry {
-    /// Address of its links.
+    /// Address that it accepts links on.
     pub links: net::SocketAddr,
     /// Failure domain.
     pub domain: String,
 }
 
-/// What another host said last.
+/// Last status of another host.
 #[derive(Clone, Debug, Default)]
 pub struct PeerStatus {
-    /// What it knows.
+    /// Version of its catalog and endpoints.
     pub version: peer::StateVersion,
-    /// How it fares with its calls to the store.
+    /// Health of its connection to the store.
     pub store: peer::StoreHealth,
-    /// When it said so.
+    /// When the status arrived.
     pub last_heard: time::Time,
 }
 
-/// Everything that the host believes.
+/// Replicated state of the host and the status of its peers.
 #[derive(Debug)]
 pub struct State {
     /// Name of this host.
@@ -54,23 +54,23 @@
     pub directory: directory::Directory,
     /// Hosts of the fleet.
     pub hosts: roster::Roster<HostEntry>,
-    /// Other hosts that spoke to this one.
+    /// Last status of each host that has sent one.
     pub peers: HashMap<Arc<str>, PeerStatus>,
-    /// Messages to the hosts that this one has a link to.
+    /// Queues of outgoing messages, by the host at the other end of the link.
     pub outboxes: HashMap<Arc<str>, mpsc::Sender<peer::Message>>,
-    /// Parts of prompts that endpoints hold, and when they last read them.
+    /// Prompt parts in the caches of endpoints, and when their last use was reported.
     cached_parts: HashMap<peer::CachedPart, time::Time>,
-    /// What other hosts told of their work.
+    /// Endpoint loads that other hosts have reported.
     pub load_reports: load_reports::LoadReports,
-    /// Place of this host among the others.
+    /// Links and role of this host in the overlay network of hosts.
     pub overlay: overlay::Overlay,
     domain: String,
-    /// Serial of the last published view.
+    /// Generation of the last published view.
     generation: u64,
 }
 
 impl State {
-    /// Makes the state of a host that knows nothing.
+    /// Creates the state of a host without catalog, endpoints, or peers.
     #[must_use]
     pub fn new(name: Arc<str>, domain: String) -> Self {
         Self {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The next view.
+    /// Creates a view of the current state, with the next generation.
     pub fn view(&mut self, now: time::Time) -> shared::View {
         self.generation += 1;
         shared::View {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// What the host knows.
+    /// Version of this host's catalog and endpoints, as its peers are sent it.
     #[must_use]
     pub fn state_version(&self) -> peer::StateVersion {
         peer::StateVersion {
@@ -109,7 +109,8 @@
         }
     }
 
-    /// What the host would ask another one for, which knows `known`.
+    /// Version after which to request changes from a host at version `theirs`, or `None` if this
+    /// host is not behind.
     #[must_use]
     pub fn catch_up_request(&self, theirs: peer::StateVersion) -> Option<peer::StateVersion> {
         let own = peer::StateVersion {
@@ -120,7 +121,7 @@
         is_behind.then_some(own)
     }
 
-    /// Takes in what another host knows and how it fares with the store.
+    /// Records the status of another host.
     pub fn record_status(
         &mut self,
         host: &Arc<str>,
@@ -138,14 +139,14 @@
         self.load_reports.record_contact(host, now);
     }
 
-    /// Other hosts that spoke lately.
+    /// Number of other hosts that sent a status within `PEER_TIMEOUT`.
     #[must_use]
     pub fn live_peers(&self, now: time::Time) -> usize {
         let is_live = |peer: &&PeerStatus| now.since(peer.last_heard) < PEER_TIMEOUT;
         self.peers.values().filter(is_live).count()
     }
 
-    /// Works out the place of this host among the others.
+    /// Recomputes the links and the role of this host from the live hosts.
     pub fn update_overlay(&mut self, now: time::Time) {
         let hosts: Vec<_> = self
             .hosts
@@ -159,7 +160,8 @@
         self.overlay = overlay::Overlay::new(&self.name, &self.domain, &hosts);
     }
 
-    /// Whether a relay brings the news of the store, so that this host need not follow it.
+    /// Whether a relay supplies changes of the store, so that this host need not watch the store
+    /// itself.
     #[must_use]
     pub fn has_live_relay(&self, now: time::Time) -> bool {
         let is_current = |peer: &PeerStatus| {
@@ -173,7 +175,7 @@
                 .any(is_current)
     }
 
-    /// Remembers what endpoints hold, for hosts that come later.
+    /// Records prompt parts that endpoints have cached, to be sent to hosts that join later.
     pub fn record_cached_parts(&mut self, parts: &[peer::CachedPart], now: time::Time) {
         self.cached_parts
             .extend(parts.iter().map(|part| (*part, now)));
@@ -183,7 +185,7 @@
         }
     }
 
-    /// What endpoints hold.
+    /// Prompt parts that endpoints probably still have in their caches.
     #[must_use]
     pub fn cached_parts(&self, now: time::Time) -> Vec<peer::CachedPart> {
         let is_retained = |at: &time::Time| now.since(*at) < prefix::RETENTION;
--- a/crates/gateway/src/control/sync.rs
+++ b/crates/gateway/src/control/sync.rs
@@ -1,4 +1,5 @@
-//! Follows the entries of the store: a whole read, and then the changes after it.
+//! Synchronization of the catalog and the endpoints with the store: a full read, then a watch for
+//! changes after its revision.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,29 +12,29 @@
 use crate::control::Context;
 use crate::{adapter, events};
 
-/// Longest time that a watch waits for a change. The store counts every call.
+/// Time that a watch waits for a change. Long watches need few calls; the store counts each one.
 pub(super) const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause between two watches of the endpoints, which write their entries about once a second
-/// each: one answer then carries many changes.
+/// Delay between two watches of the endpoints. Each endpoint writes its entry about once a second,
+/// so one answer then carries many changes.
 const ENDPOINTS_WATCH_DELAY: Duration = Duration::from_millis(500);
 
-/// First pause after a call that failed.
+/// Backoff after the first failed call.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(150);
 
-/// Longest pause after calls that failed.
+/// Upper bound of the backoff, before jitter.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_200);
 
-/// Most doublings of the first pause.
+/// Most doublings of the initial backoff.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// Longest time that those wait who leave it to the follower of the catalog to try the store.
+/// Longest time that other tasks wait for the catalog sync to reach the store again.
 const MAX_STORE_WAIT: Duration = Duration::from_secs(4);
 
-/// Time between two looks at whether a relay still brings the news.
+/// Interval at which a live relay is checked for.
 const RELAY_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pauses for a time that grows with the failures in a row and differs from host to host.
+/// Sleeps for an exponential backoff with jitter.
 async fn back_off(failures: u32) {
     let factor = 2_u32.saturating_pow(failures.min(MAX_DOUBLINGS));
     let delay = (INITIAL_BACKOFF * factor).min(MAX_BACKOFF);
@@ -41,7 +42,8 @@
     tokio::time::sleep(delay.mul_f64(jitter)).await;
 }
 
-/// Follows the entry of the catalog. Of all followers this one tries the store most often.
+/// Keeps the catalog in sync with the store. Of all tasks, this one retries the store most often,
+/// and it decides whether the store counts as reachable.
 pub(super) async fn sync_catalog<D, S>(cx: Rc<Context<D, S>>)
 where
     D: adapter::Dialect,
@@ -58,7 +60,7 @@
     }
 }
 
-/// Waits as long as a relay brings the news of the store.
+/// Waits until no relay supplies changes of the store.
 pub(super) async fn wait_while_relay_is_live<D, S>(cx: &Context<D, S>)
 where
     D: adapter::Dialect,
@@ -69,7 +71,7 @@
     }
 }
 
-/// Reads the catalog and follows its changes until a read fails or a relay brings the news.
+/// Reads and watches the catalog until a read fails or a relay supplies its changes.
 async fn sync_catalog_once<D, S>(
     cx: &Context<D, S>,
     failures: &mut u32,
@@ -85,7 +87,8 @@
         match watch_catalog(cx, after).await {
             WatchEnd::RelayLive => return Ok(()),
             WatchEnd::Reread => failed_watches = 0,
-            // A watch may be cut at any time. A read shows whether the store answers.
+            // A watch may be interrupted at any time; only a read shows whether the store is
+            // reachable.
             WatchEnd::Failed(e) => {
                 cx.events.sync_failed(cx.dialect.catalog_key(), &e);
                 if failed_watches > 0 {
@@ -97,7 +100,7 @@
     }
 }
 
-/// Reads the catalog. Returns the revision after which its changes have to be followed.
+/// Reads the catalog. Returns the revision after which to watch for changes.
 async fn read_catalog<D, S>(cx: &Context<D, S>) -> Result<revision::Revision, key_value::Error>
 where
     D: adapter::Dialect,
@@ -117,17 +120,18 @@
     Ok(found.revision)
 }
 
-/// Why the changes of the catalog are not followed any further.
+/// Why a watch of the catalog ended.
 enum WatchEnd {
-    /// A relay brings the news.
+    /// A relay supplies the changes.
     RelayLive,
-    /// The catalog has to be read anew: the history is gone, or another call failed.
+    /// The catalog must be read again: the watch history was compacted, or a call of another task
+    /// failed.
     Reread,
-    /// A watch had no answer.
+    /// The watch failed.
     Failed(key_value::Error),
 }
 
-/// Follows the changes of the catalog after a revision.
+/// Watches for changes of the catalog after a revision.
 async fn watch_catalog<D, S>(cx: &Context<D, S>, mut after: revision::Revision) -> WatchEnd
 where
     D: adapter::Dialect,
@@ -176,7 +180,7 @@
     }
 }
 
-/// Follows the entries of the endpoints.
+/// Keeps the endpoints in sync with the store.
 pub(super) async fn sync_endpoints<D, S>(cx: Rc<Context<D, S>>)
 where
     D: adapter::Dialect,
@@ -189,8 +193,8 @@
     }
 }
 
-/// Runs a follower until it fails and the store may be tried again, or until the store has come
-/// back: a watch on another connection may wait in vain then.
+/// Runs a sync until it fails and the store may be retried, or until the store becomes reachable
+/// again. In the latter case the sync is restarted, since its watch may hang on a dead connection.
 pub(super) async fn run_until_store_recovers<D, S, F>(cx: &Context<D, S>, what: &str, sync: F)
 where
     F: Future<Output = Result<(), key_value::Error>>,
@@ -205,7 +209,7 @@
     }
 }
 
-/// Reports a call that failed, and waits until the store may be tried again.
+/// Logs a failed call, and waits until the store may be retried.
 pub(super) async fn handle_store_failure<D, S>(
     cx: &Context<D, S>,
     what: &str,
@@ -216,17 +220,17 @@
     wait_for_store(cx).await;
 }
 
-/// Waits until the store answers again, or for a bounded time.
+/// Waits until the store is reachable again, for at most [`MAX_STORE_WAIT`].
 async fn wait_for_store<D, S>(cx: &Context<D, S>) {
     let recovered = cx.store_recovered.notified();
     if cx.store_available.get() {
-        // The store answers others, or nobody knows yet that it does not.
+        // The store is reachable for the catalog sync, or its outage has not been noticed yet.
         let failures = cx.store_failures.get();
         cx.store_failures.set(failures + 1);
         back_off(failures).await;
         return;
     }
-    // Whether it came back or not, the next call shows.
+    // After a time-out, the next call shows whether the store is reachable.
     drop(tokio::time::timeout(MAX_STORE_WAIT, recovered).await);
 }
 
@@ -316,7 +320,7 @@
     }
 }
 
-/// Applies one entry. Returns whether the endpoints in use changed.
+/// Applies the entry of one endpoint. Returns whether the endpoints in use changed.
 pub(super) fn apply_endpoint<D, S>(
     cx: &Context<D, S>,
     key: &Arc<str>,
@@ -356,7 +360,7 @@
     }
 }
 
-/// Key as text. Keys that are no text keep their readable part, which still tells them apart.
+/// Converts a key to text. Invalid UTF-8 is replaced; the valid rest still distinguishes the keys.
 fn key_text(key: &[u8]) -> Arc<str> {
     String::from_utf8_lossy(key).into()
 }
