--- a/crates/gateway/src/control/links/incoming.rs
+++ b/crates/gateway/src/control/links/incoming.rs
@@ -113,14 +113,14 @@
     match message {
         peer::Message::Hello { .. } => {}
         peer::Message::Status {
-            known,
+            known: version,
             store,
             loads,
         } => {
             let now = clock::now();
             let before = |ms| now - Duration::from_millis(u64::from(ms));
             let mut state = cx.state.borrow_mut();
-            state.record_status(sender, known, store, now);
+            state.record_status(sender, version, store, now);
             if let Some(loads) = loads {
                 state.load_reports.set_own_load(sender, loads);
             }
@@ -130,7 +130,7 @@
                     answering_since: before(store.steady_ms),
                     last_answered: before(store.answered_ms),
                 });
-            if known.catalog == state.state_version().catalog {
+            if version.catalog == state.state_version().catalog {
                 cx.shared.confirm_catalog(before(store.catalog_age_ms));
             }
         }
@@ -143,7 +143,7 @@
         peer::Message::Holdings(parts) => {
             apply_cached_parts(cx, &parts);
         }
-        peer::Message::Want(known) => send_updates(cx, sender, known),
+        peer::Message::Want(version) => send_updates(cx, sender, version),
         peer::Message::Catalog(content) => {
             cx.offer_catalog(*content, events::Source::Host(sender.clone()));
         }
--- a/crates/gateway/src/control/links/outgoing.rs
+++ b/crates/gateway/src/control/links/outgoing.rs
@@ -28,7 +28,7 @@
 /// State last sent on a link.
 #[derive(Default)]
 pub(super) struct SentState {
-    known: Option<peer::StateVersion>,
+    version: Option<peer::StateVersion>,
     loads: Arc<Vec<load::EndpointLoad>>,
     sent_at: time::Time,
     last_relayed: Vec<load::EndpointLoad>,
@@ -42,19 +42,19 @@
         S: adapter::Store,
     {
         let now = clock::now();
-        let known = cx.state_version();
+        let version = cx.state_version();
         let loads = cx.shared.local_loads();
-        let same_loads = self.known.is_some() && self.loads == loads;
+        let same_loads = self.version.is_some() && self.loads == loads;
         let is_due = now.since(self.sent_at) >= HEARTBEAT_INTERVAL;
-        if self.known == Some(known) && same_loads && !is_due {
+        if self.version == Some(version) && same_loads && !is_due {
             return None;
         }
         let changed = (!same_loads).then(|| Vec::clone(&loads));
-        self.known = Some(known);
+        self.version = Some(version);
         self.loads = loads;
         self.sent_at = now;
         Some(peer::Message::Status {
-            known,
+            known: version,
             store: cx.store_calls(now),
             loads: changed,
         })
@@ -107,13 +107,13 @@
     ) -> Option<peer::StateVersion> {
         let now = clock::now();
         let state = cx.state.borrow();
-        let known = state.peers.get(name)?.version;
-        let Some(want) = state.catch_up_request(known) else {
+        let theirs = state.peers.get(name)?.version;
+        let Some(want) = state.catch_up_request(theirs) else {
             self.behind_since = None;
             return None;
         };
         let since = *self.behind_since.get_or_insert(now);
-        let delay = match known.catalog > want.catalog {
+        let delay = match theirs.catalog > want.catalog {
             _ if state.has_live_relay(now) => Duration::ZERO,
             true => CATALOG_REQUEST_DELAY,
             false => ENDPOINTS_REQUEST_DELAY,
--- a/crates/gateway/src/traffic/endpoints.rs
+++ b/crates/gateway/src/traffic/endpoints.rs
@@ -68,7 +68,7 @@
     budgets: HashMap<Arc<str>, retry::Budget>,
     prefixes: prefix::PrefixIndex,
     health: health::Health,
-    rates: cost::Parameters,
+    cost_parameters: cost::Parameters,
     /// Serial of the view that the endpoints were taken from.
     generation: u64,
     next_id: u32,
@@ -87,7 +87,7 @@
             budgets: HashMap::new(),
             prefixes: prefix::PrefixIndex::default(),
             health: health::Health::new(HEALTH_SETTINGS, now),
-            rates: cost::Parameters::default(),
+            cost_parameters: cost::Parameters::default(),
             generation: 0,
             next_id: 0,
         }
@@ -125,7 +125,7 @@
     pub(super) fn select(
         &self,
         service: &str,
-        need: &choice::Request,
+        request: &choice::Request,
         others: &load_reports::WorkByEndpoint,
         tried: &[entity::EndpointId],
         now: time::Time,
@@ -148,7 +148,7 @@
             leaving: leaving.map_or(&[], Vec::as_slice),
             is_source: &is_source,
         };
-        let choice = choice::choose(need, &candidates, &caches, &self.rates, now)?;
+        let choice = choice::choose(request, &candidates, &caches, &self.cost_parameters, now)?;
         let entry = self.entries.get(choice.endpoint)?;
         let source = choice.copy_from.and_then(|id| self.entries.get(id));
         Some(SelectedEndpoint {
--- a/crates/gateway/src/traffic/endpoints/tests.rs
+++ b/crates/gateway/src/traffic/endpoints/tests.rs
@@ -39,12 +39,12 @@
         .filter_map(|seed| {
             let id = seed.to_le_bytes();
             let parts: [(&[u8], u32); 2] = [(&id, 5_000), (b"own", 100)];
-            let need = choice::Request {
+            let request = choice::Request {
                 prompt: Some(prompt::Prompt::new(b"m", parts, 5_100, 100)),
                 seed,
             };
-            let chosen = table.select("engines", &need, &others, &[], NOW)?;
-            chosen.copy_from.map(|address| address.port())
+            let selected = table.select("engines", &request, &others, &[], NOW)?;
+            selected.copy_from.map(|address| address.port())
         })
         .collect()
 }
