--- a/crates/core/src/membership/effect.rs
+++ b/crates/core/src/membership/effect.rs
@@ -1,4 +1,4 @@
-//! Settings of the membership, and what it asks its surroundings to do.
+//! Settings of the membership, and the effects that its caller must carry out.
 
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 /// Settings of the membership.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Time between two probes of a neighbour.
+    /// Interval between two probes of a neighbour.
     pub probe_period: Duration,
-    /// Neighbours that are probed.
+    /// Number of neighbours that are probed.
     pub probed_neighbours: usize,
-    /// Probes in a row that a neighbour misses before it is suspected.
+    /// Consecutive missed probes after which a neighbour is suspected.
     pub max_missed_probes: u32,
-    /// Time in which a suspicion can be refuted.
+    /// Time within which a suspected host can refute the suspicion.
     pub suspicion_timeout: Duration,
-    /// Shortest time between two pushes of new updates.
+    /// Minimum interval between two pushes of new updates.
     pub min_push_interval: Duration,
 }
 
@@ -34,31 +34,33 @@
     }
 }
 
-/// What has to be done after an event.
+/// An action that the caller must take after an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a probe. Its end is told by [`Membership::handle_answer`] or [`Membership::handle_probe_failure`].
+    /// Send a probe, and pass the result to
+    /// [`Membership::handle_answer`](super::Membership::handle_answer) or
+    /// [`Membership::handle_probe_failure`](super::Membership::handle_probe_failure).
     SendProbe {
         /// Host to probe.
         to: entity::HostId,
         /// The probe.
         probe: Probe,
     },
-    /// A host starts or stops taking new work.
+    /// A host started or stopped taking new work.
     HostChanged {
         /// The host.
         host: entity::HostId,
         /// Whether it takes new work.
         usable: bool,
     },
-    /// An endpoint starts or stops leaving.
+    /// An endpoint started or stopped leaving.
     EndpointChanged {
         /// The endpoint.
         endpoint: entity::EndpointId,
         /// Whether it is leaving.
         leaving: bool,
     },
-    /// A failure domain becomes or stops being reachable from this host.
+    /// A failure domain became reachable or unreachable from this host.
     DomainChanged {
         /// The domain.
         domain: entity::DomainId,
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Updates that still have to be repeated.
+//! Queue of updates that probes and their answers spread through the domain.
 
 use std::collections::BTreeMap;
 
@@ -6,30 +6,30 @@
 
 use crate::membership::message::{MAX_UPDATES, Subject, Update};
 
-/// Subjects whose updates are repeated at once. Beyond this the most repeated is forgotten; the
-/// host list and the probes of the subject itself bring what was missed.
+/// Most subjects in the queue. Beyond this, the update with the fewest transmissions left is
+/// dropped; the host list and the probes of its subject make up for it at hosts that missed it.
 const MAX_QUEUED: usize = 1024;
 
-/// Updates with the number of times that each has still to be sent.
+/// Updates with the number of times that each must still be sent.
 #[derive(Clone, Debug, Default)]
 pub struct GossipQueue {
-    /// Invariant: at most [`MAX_QUEUED`], each with at least one time left.
+    /// Invariant: at most [`MAX_QUEUED`] entries, each with at least one transmission left.
     pending: BTreeMap<Subject, (Update, u32)>,
 }
 
 impl GossipQueue {
-    /// Adds an update that is to be sent `times` times. It replaces another of the same subject.
+    /// Adds an update that is sent `times` times. It replaces any other update of its subject.
     pub fn add(&mut self, update: Update, times: u32) {
         if self.pending.len() >= MAX_QUEUED && !self.pending.contains_key(&update.subject) {
-            let most_repeated = self.pending.iter().min_by_key(|(_, (_, left))| *left);
-            if let Some(subject) = most_repeated.map(|(subject, _)| *subject) {
+            let fewest_left = self.pending.iter().min_by_key(|(_, (_, left))| *left);
+            if let Some(subject) = fewest_left.map(|(subject, _)| *subject) {
                 self.pending.remove(&subject);
             }
         }
         self.pending.insert(update.subject, (update, times.max(1)));
     }
 
-    /// Takes the updates for one message, those repeated least first.
+    /// Takes the updates for one message, those with the most transmissions left first.
     pub fn take_batch(&mut self) -> SmallVec<[Update; 8]> {
         let mut order: Vec<_> = self
             .pending
--- a/crates/core/src/membership/load_reports.rs
+++ b/crates/core/src/membership/load_reports.rs
@@ -1,8 +1,9 @@
-//! Sums of the hosts' work at endpoints, as they travel over the links of a [`Overlay`].
+//! Loads of the endpoints, as hosts report them to each other over the links of an [`Overlay`].
 //!
-//! Every host tells its own work. A relay tells the relays of other domains the sum of its domain,
-//! and each host of its domain the sum of everyone else. Of several relays that tell the same sum,
-//! the first one that was heard lately counts.
+//! Every host reports the work that it has at each endpoint itself. A relay reports the total of
+//! its domain to the relays of other domains, and to each host of its own domain the total of all
+//! other hosts. Of several relays that report the same total, the first one with a report that
+//! has not expired counts.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,44 +13,44 @@
 use crate::membership::overlay::{Overlay, Role};
 use crate::time;
 
-/// Age from which on what a host report no longer counts.
+/// Age above which the report of a host no longer counts.
 pub const REPORT_TTL: Duration = Duration::from_millis(2_500);
 
-/// Work by the hash of the endpoint's identity.
+/// Work, keyed by the hash of the endpoint's identity.
 pub type WorkByEndpoint = HashMap<u64, Work>;
 
-/// What one host report.
+/// Latest report of one host.
 #[derive(Clone, Debug, Default)]
 struct HostReport {
     own: Vec<EndpointLoad>,
-    /// Sum that it carries for others.
+    /// Total that the host relays for others.
     relayed: Vec<EndpointLoad>,
     last_heard: time::Time,
 }
 
-/// What all hosts report.
+/// Latest reports of all other hosts.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReports {
     reports: HashMap<Arc<str>, HostReport>,
 }
 
 impl LoadReports {
-    /// Notes that a host spoke.
+    /// Records that a message of a host arrived.
     pub fn record_contact(&mut self, host: &Arc<str>, now: time::Time) {
         self.reports.entry(host.clone()).or_default().last_heard = now;
     }
 
-    /// Takes in the work of a host.
+    /// Replaces the work that a host reports as its own.
     pub fn set_own_load(&mut self, host: &Arc<str>, loads: Vec<EndpointLoad>) {
         self.reports.entry(host.clone()).or_default().own = loads;
     }
 
-    /// Takes in a sum that a relay carries.
+    /// Replaces the total that a relay reports for others.
     pub fn set_relayed_load(&mut self, host: &Arc<str>, loads: Vec<EndpointLoad>) {
         self.reports.entry(host.clone()).or_default().relayed = loads;
     }
 
-    /// Forgets hosts that have been silent for long.
+    /// Removes hosts that have been silent for longer than [`REPORT_TTL`].
     pub fn tick(&mut self, now: time::Time) {
         self.reports
             .retain(|_, report| now.since(report.last_heard) <= REPORT_TTL);
@@ -75,7 +76,7 @@
         sum
     }
 
-    /// Work of a relay's domain, with its own.
+    /// Work of the relay's domain, including that of the relay itself.
     #[must_use]
     pub fn domain_total(&self, overlay: &Overlay, own: &[EndpointLoad]) -> Vec<EndpointLoad> {
         let mut sum = WorkByEndpoint::new();
@@ -84,8 +85,8 @@
         listed(sum)
     }
 
-    /// Work of everyone but one host of a relay's domain. `others` is the work of all but the
-    /// relay.
+    /// Work of all hosts except one host of the relay's domain. `others` is the work of all hosts
+    /// except the relay.
     #[must_use]
     pub fn total_except(
         &self,
@@ -106,7 +107,7 @@
         listed(sum)
     }
 
-    /// Adds the work of the hosts of a relay's domain that talk to it.
+    /// Adds the work of the hosts of the relay's domain that report to it.
     fn add_domain(&self, sum: &mut WorkByEndpoint, overlay: &Overlay) {
         for (name, report) in &self.reports {
             if !overlay.is_foreign_relay(name) {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Adds what the first of several relays carries that was heard.
+    /// Adds the total of the first of several relays that has a report.
     fn add_relayed(&self, sum: &mut WorkByEndpoint, relays: &[Arc<str>]) {
         let heard = relays.iter().find_map(|relay| self.reports.get(relay));
         if let Some(report) = heard {
@@ -132,7 +133,7 @@
     }
 }
 
-/// Sums in a fixed order, without those that are nothing.
+/// Loads sorted by endpoint, without those that are zero.
 fn listed(sum: WorkByEndpoint) -> Vec<EndpointLoad> {
     let mut loads: Vec<_> = sum
         .into_iter()
--- a/crates/core/src/membership/machine.rs
+++ b/crates/core/src/membership/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of one host's view.
+//! State machine of one host's view of the fleet.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +11,13 @@
 };
 use crate::{entity, map, time, topology};
 
-/// What one host knows of hosts and endpoints.
+/// One host's view of the hosts and endpoints.
 #[derive(Clone, Debug)]
 pub struct Membership {
     cfg: Config,
     me: entity::HostId,
     domain: entity::DomainId,
-    /// What this host tells of itself.
+    /// Latest update of this host about itself.
     own: Update,
     list_version: u64,
     members: map::EntityMap<entity::HostId, Member>,
@@ -32,7 +32,7 @@
 }
 
 impl Membership {
-    /// Makes the view of a host that knows no other.
+    /// Creates the view of a host that knows no other host.
     #[must_use]
     pub fn new(cfg: Config, me: entity::HostId, domain: entity::DomainId) -> Self {
         let own = Update {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes in the host list. An older version than the last is ignored.
+    /// Applies the host list. A list that is not newer than the last one is ignored.
     pub fn apply_host_list(&mut self, now: time::Time, list: &topology::HostList) -> Effects {
         let mut effects = Effects::new();
         if list.version <= self.list_version {
@@ -75,8 +75,8 @@
         if list.hosts.iter().any(leaves) {
             effects.extend(self.leave());
         }
-        // A list does not change how a member stands, but what is held out is told anew, since the
-        // receiver of the effects may have replaced its entries.
+        // A list does not change the status of a member. Unusable hosts and leaving endpoints are
+        // still reported again, since the caller may have replaced its entries.
         for (host, member) in self.members.iter_mut() {
             member.usable = member.is_usable(now);
             if !member.usable {
@@ -141,7 +141,8 @@
             .map(|host| host.id)
     }
 
-    /// Does the timed work: probes, pushes, and suspicions that were not refuted.
+    /// Does the periodic work: sends probes and pushes, and confirms suspicions that were not
+    /// refuted.
     pub fn tick(&mut self, now: time::Time) -> Effects {
         let mut effects = Effects::new();
         self.expire_suspicions(now, &mut effects);
@@ -161,7 +162,7 @@
 
     fn probe_all(&mut self, effects: &mut Effects) {
         let mut targets = self.ring.successors(self.me, self.cfg.probed_neighbours);
-        // Hosts start at different places, so that they do not all probe the same one.
+        // Hosts start at different offsets, so that they do not all probe the same host.
         let offset = self.me.as_u32() as usize;
         targets.extend(
             self.domains
@@ -187,13 +188,13 @@
         }
     }
 
-    /// Takes a probe and makes its answer.
+    /// Handles a probe and returns the answer to it.
     pub fn handle_probe(&mut self, now: time::Time, probe: &Probe) -> (Probe, Effects) {
         let effects = self.apply_message(now, probe);
         (self.make_probe(probe.from), effects)
     }
 
-    /// Takes the answer to a probe.
+    /// Handles the answer to a probe.
     pub fn handle_answer(&mut self, now: time::Time, probe: &Probe) -> Effects {
         let mut effects = self.apply_message(now, probe);
         self.record_domain_probe(probe.from, true, &mut effects);
@@ -203,7 +204,8 @@
         effects
     }
 
-    /// Records that a probe was not answered. `refused` tells that nothing listens there.
+    /// Handles a probe that was not answered. `refused` means that the connection was refused, so
+    /// nothing listens at the address.
     pub fn handle_probe_failure(
         &mut self,
         now: time::Time,
@@ -222,7 +224,7 @@
         } else {
             member.missed.saturating_add(1)
         };
-        // A host of another domain is judged by its own domain; the link to it may be cut.
+        // Only hosts of its own domain suspect a host: for others, the link to it may be down.
         let is_neighbour = member.domain == domain;
         if is_neighbour && member.missed >= limit && member.known.status < Status::Suspect {
             let suspicion = Update {
@@ -234,7 +236,7 @@
         effects
     }
 
-    /// Starts to leave: this host takes no new work.
+    /// Announces that this host is leaving and takes no new work.
     pub fn leave(&mut self) -> Effects {
         if self.own.status != Status::Leaving {
             self.own.status = Status::Leaving;
@@ -244,7 +246,7 @@
         Effects::new()
     }
 
-    /// Takes in whether an endpoint is leaving, as its owner saw it.
+    /// Records whether an endpoint is leaving, as its owner observed it.
     pub fn set_endpoint_leaving(
         &mut self,
         now: time::Time,
@@ -302,7 +304,7 @@
                 .is_none_or(DomainReachability::is_reachable)
     }
 
-    /// Takes in what a message tells.
+    /// Applies the updates of a probe or an answer.
     fn apply_message(&mut self, now: time::Time, probe: &Probe) -> Effects {
         let mut effects = Effects::new();
         if let Some(claim) = probe.receiver {
@@ -314,7 +316,7 @@
         effects
     }
 
-    /// Supersedes what is told of this host, unless it is what the host tells itself.
+    /// Refutes an update about this host that supersedes the host's own one.
     fn refute(&mut self, claim: Update) {
         if claim.subject == self.own.subject && claim.supersedes(&self.own) {
             self.own.incarnation = claim.incarnation.saturating_add(1);
@@ -339,7 +341,7 @@
         update: Update,
         effects: &mut Effects,
     ) {
-        // A host that the list does not show yet cannot be reached, so nothing is kept of it.
+        // A host that is not on the list yet cannot be reached, so updates about it are dropped.
         let Some(member) = self.members.get_mut(host) else {
             return;
         };
@@ -358,7 +360,7 @@
         update: Update,
         effects: &mut Effects,
     ) {
-        // An endpoint that the list does not show gets no work, so nothing is kept of it.
+        // An endpoint that is not on the list gets no work, so updates about it are dropped.
         let Some(state) = self.endpoints.get_mut(endpoint) else {
             return;
         };
@@ -370,7 +372,7 @@
         self.enqueue_update(update);
     }
 
-    /// Turns suspicions that were not refuted into losses.
+    /// Marks hosts as down whose suspicion was not refuted in time.
     fn expire_suspicions(&mut self, now: time::Time, effects: &mut Effects) {
         let due = |member: &Member| member.suspected_until.is_some_and(|until| now >= until);
         let lost: SmallVec<[Update; 4]> = self
@@ -387,7 +389,7 @@
         }
     }
 
-    /// Lets in what was held out and has been steady.
+    /// Re-evaluates unusable hosts and leaving endpoints, whose suppression may have ended.
     fn readmit(&mut self, now: time::Time, effects: &mut Effects) {
         for (host, member) in self.members.iter_mut().filter(|(_, member)| !member.usable) {
             member.refresh(host, now, effects);
@@ -397,7 +399,8 @@
         }
     }
 
-    /// Records the end of a probe of a host of another domain.
+    /// Records the result of a probe for the reachability of the host's domain, if that is another
+    /// domain.
     fn record_domain_probe(&mut self, host: entity::HostId, answered: bool, effects: &mut Effects) {
         let Some(domain) = self.members.get(host).map(|member| member.domain) else {
             return;
@@ -413,7 +416,7 @@
     }
 
     fn enqueue_update(&mut self, update: Update) {
-        // Enough times to reach every host with probes alone, were each push lost.
+        // Enough transmissions to reach every host by probes alone, even if every push is lost.
         let rounds = usize::BITS - self.ring.len().leading_zeros();
         let times = (rounds + 1) * self.cfg.probed_neighbours as u32;
         self.gossip.add(update, times);
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -1,26 +1,26 @@
-//! What is known of one host or endpoint.
+//! Latest known state of one host or endpoint.
 
 use crate::membership::{Effect, Effects, FlapDamping, Status, Subject, Update};
 use crate::{entity, time};
 
-/// What is known of a host.
+/// Latest known state of a host.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) domain: entity::DomainId,
     pub(super) known: Update,
-    /// Whether the member told in its present incarnation that it leaves.
+    /// Whether the member announced in its current incarnation that it is leaving.
     leaving: bool,
-    /// Probes in a row that this host sent and that were not answered.
+    /// Consecutive probes of this host that the member did not answer.
     pub(super) missed: u32,
-    /// When a suspicion becomes a loss, while the member is suspected.
+    /// When the suspicion is confirmed, while the member is suspected.
     pub(super) suspected_until: Option<time::Time>,
     damping: FlapDamping,
-    /// Whether the member was last told to take new work.
+    /// Whether the member takes new work, as last reported to the caller.
     pub(super) usable: bool,
 }
 
 impl Member {
-    /// Makes a host of which nothing was told yet.
+    /// Creates the state of a host without any updates.
     pub(super) fn new(host: entity::HostId, domain: entity::DomainId) -> Self {
         Self {
             domain,
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Takes an update that supersedes what is known. A suspicion is confirmed at `until`.
+    /// Applies an update that supersedes the latest one. A suspicion is confirmed at `until`.
     pub(super) fn apply_update(&mut self, update: Update, until: time::Time) {
         self.leaving = match update.status {
             Status::Alive => false,
             Status::Leaving => true,
-            // A suspicion of one who leaves says nothing of whether it still leaves.
+            // A suspicion does not say whether the host is still leaving.
             Status::Suspect | Status::Down => {
                 self.leaving && update.incarnation == self.known.incarnation
             }
@@ -52,13 +52,13 @@
 
     /// Whether the member takes new work.
     pub(super) fn is_usable(&mut self, now: time::Time) -> bool {
-        // A suspected host keeps its work until the suspicion is confirmed, since it may be late
-        // only.
-        let stands = matches!(self.known.status, Status::Alive | Status::Suspect);
-        stands && !self.leaving && !self.damping.is_suppressed(now)
+        // A suspected host stays usable until the suspicion is confirmed, since it may only be
+        // slow.
+        let is_up = matches!(self.known.status, Status::Alive | Status::Suspect);
+        is_up && !self.leaving && !self.damping.is_suppressed(now)
     }
 
-    /// Tells whether the member takes new work, if that has changed.
+    /// Reports whether the member takes new work, if that has changed.
     pub(super) fn refresh(&mut self, host: entity::HostId, now: time::Time, effects: &mut Effects) {
         let usable = self.is_usable(now);
         if usable == self.usable {
@@ -72,17 +72,17 @@
     }
 }
 
-/// What is known of an endpoint.
+/// Latest known state of an endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct EndpointState {
     pub(super) known: Update,
     damping: FlapDamping,
-    /// Whether the endpoint was last told to be leaving.
+    /// Whether the endpoint is leaving, as last reported to the caller.
     pub(super) leaving: bool,
 }
 
 impl EndpointState {
-    /// Makes an endpoint of which nothing was told yet.
+    /// Creates the state of an endpoint without any updates.
     pub(super) fn new(endpoint: entity::EndpointId) -> Self {
         Self {
             known: first(Subject::Endpoint(endpoint)),
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Tells whether the endpoint is leaving, if that has changed.
+    /// Reports whether the endpoint is leaving, if that has changed.
     pub(super) fn refresh(
         &mut self,
         endpoint: entity::EndpointId,
@@ -110,7 +110,7 @@
     }
 }
 
-/// What holds of a subject until something is told of it.
+/// State of a subject before the first update about it.
 const fn first(subject: Subject) -> Update {
     Update {
         subject,
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -1,10 +1,10 @@
-//! What hosts tell each other about hosts and endpoints.
+//! Messages that carry the status of hosts and endpoints between hosts.
 
 use smallvec::SmallVec;
 
 use crate::entity;
 
-/// Most updates in one probe or answer.
+/// Maximum number of updates in one probe or answer.
 pub const MAX_UPDATES: usize = 16;
 
 /// What an update is about.
@@ -19,7 +19,7 @@
     Endpoint(entity::EndpointId),
 }
 
-/// How a host or endpoint stands. A later one supersedes an earlier one of the same incarnation.
+/// Status of a host or endpoint. Within one incarnation, a later variant supersedes an earlier one.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -27,30 +27,30 @@
 pub enum Status {
     /// It takes new work.
     Alive,
-    /// It finishes what it has and takes no new work.
+    /// It finishes the work that it has and takes no new work.
     Leaving,
-    /// It misses probes and has not refuted it yet.
+    /// It missed probes and has not refuted the suspicion yet.
     Suspect,
     /// It did not refute the suspicion in time.
     Down,
 }
 
-/// What is known of one subject.
+/// Status of one subject at one incarnation.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 pub struct Update {
     /// What the update is about.
     pub subject: Subject,
-    /// Number that the subject raises to supersede what is told of it.
+    /// Number that the subject raises to supersede the updates that others spread about it.
     pub incarnation: u32,
-    /// How the subject stands.
+    /// Status of the subject.
     #[serde(rename = "standing")]
     pub status: Status,
 }
 
 impl Update {
-    /// Whether this update supersedes what is known.
+    /// Whether this update supersedes the latest known one.
     #[must_use]
     pub fn supersedes(&self, known: &Self) -> bool {
         (self.incarnation, self.status) > (known.incarnation, known.status)
@@ -62,8 +62,8 @@
 pub struct Probe {
     /// Host that sends it.
     pub from: entity::HostId,
-    /// What the sender knows of the receiver, so that the receiver can refute it.
+    /// The sender's update about the receiver, so that the receiver can refute it.
     pub receiver: Option<Update>,
-    /// What the sender tells of others, at most [`MAX_UPDATES`].
+    /// Updates about other subjects, at most [`MAX_UPDATES`].
     pub updates: SmallVec<[Update; 8]>,
 }
--- a/crates/core/src/membership/overlay.rs
+++ b/crates/core/src/membership/overlay.rs
@@ -1,59 +1,59 @@
-//! Which hosts talk to which, so that the cost of a host stays bounded as the fleet grows.
+//! Overlay network of the hosts, which bounds the cost of a host as the fleet grows.
 //!
-//! A small fleet talks all to all. In a larger one, two relays in each failure domain talk to all
-//! hosts of their domain and to the relays of the other domains; every other host talks to the
-//! relays of its domain only. Relays follow the store and carry news; which hosts they are follows
-//! from the list of hosts alone, so nobody has to agree on it.
+//! In a small fleet, every host is linked to every other. In a larger one, two relays in each
+//! failure domain are linked to all hosts of their domain and to the relays of the other domains;
+//! every other host is linked to the relays of its domain only. Relays watch the store and forward
+//! changes. The relays follow from the list of hosts alone, so no election is needed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use smallvec::SmallVec;
 
-/// Most other hosts up to which all hosts talk to each other.
+/// Largest number of other hosts with which the fleet is a full mesh.
 pub const FULL_MESH_MAX_PEERS: usize = 12;
 
-/// Relays of a domain. The second one serves while the first one is lost.
+/// Relays of a domain. The second one takes over while the first one is down.
 pub const RELAYS_PER_DOMAIN: usize = 2;
 
-/// What a host does for the others.
+/// Role of a host in the overlay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// It talks to everyone.
+    /// It is linked to every other host.
     #[default]
     Mesh,
-    /// It carries news for its domain.
+    /// It forwards changes to and from its domain.
     Relay,
-    /// It gets news from the relays of its domain.
+    /// It receives changes from the relays of its domain.
     Member,
 }
 
-/// A host, as far as its place is concerned.
+/// Properties of a host that determine the overlay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OverlayHost {
     /// Name of the host.
     pub name: Arc<str>,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// Whether it serves, as far as is known.
+    /// Whether this host considers it live.
     pub is_live: bool,
 }
 
-/// The place of one host among the others.
+/// Role and links of one host in the overlay.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Overlay {
-    /// What the host does.
+    /// Role of the host.
     pub role: Role,
-    /// Hosts that it talks to.
+    /// Hosts that it is linked to.
     pub links: Vec<Arc<str>>,
-    /// Relays of its domain in order of preference; none in a small fleet.
+    /// Relays of its domain in order of preference; empty in a full mesh.
     pub relays: SmallVec<[Arc<str>; RELAYS_PER_DOMAIN]>,
     /// Relays of the other domains, by domain and in order of preference.
     pub foreign_relays: BTreeMap<Arc<str>, SmallVec<[Arc<str>; RELAYS_PER_DOMAIN]>>,
 }
 
 impl Overlay {
-    /// Works out the place of a host. `hosts` may or may not hold it.
+    /// Computes the role and links of the host `me`. `hosts` may or may not contain it.
     #[must_use]
     pub fn new(me: &str, domain: &str, hosts: &[OverlayHost]) -> Self {
         let others = || hosts.iter().filter(|host| *host.name != *me);
@@ -100,7 +100,7 @@
     }
 }
 
-/// First hosts of each domain that serve, by their names.
+/// The first live hosts of each domain in the order of their names.
 fn relays_by_domain(
     hosts: &[OverlayHost],
 ) -> BTreeMap<Arc<str>, SmallVec<[Arc<str>; RELAYS_PER_DOMAIN]>> {
--- a/crates/core/src/membership/reachability.rs
+++ b/crates/core/src/membership/reachability.rs
@@ -2,22 +2,23 @@
 
 use crate::entity;
 
-/// Probes of different hosts in a row that must fail before a domain counts as cut off.
+/// Consecutive failed probes, of different hosts, after which a domain counts as unreachable.
 const MAX_FAILURES: u32 = 3;
 
-/// Reachability of one other domain.
+/// Reachability of one other domain, by the probes of its hosts.
 #[derive(Clone, Debug, Default)]
 pub struct DomainReachability {
     /// Hosts of the domain, which are probed in turn.
     pub hosts: Vec<entity::HostId>,
-    /// Place of the next host to probe.
+    /// Index of the next host to probe.
     next: usize,
-    /// Probes in a row that failed.
+    /// Consecutive probes that failed.
     failures: u32,
 }
 
 impl DomainReachability {
-    /// The host to probe next, or `None` if the domain has none.
+    /// Returns the next host to probe, or `None` if the domain has no hosts. `offset` is added to
+    /// the index.
     pub fn next_host(&mut self, offset: usize) -> Option<entity::HostId> {
         let host = *self
             .hosts
@@ -26,7 +27,7 @@
         Some(host)
     }
 
-    /// Records the end of a probe, and returns whether the domain can be reached.
+    /// Records the result of a probe, and returns whether the domain can be reached.
     pub fn record_probe(&mut self, answered: bool) -> bool {
         self.failures = if answered {
             0
@@ -36,9 +37,9 @@
         self.is_reachable()
     }
 
-    /// Whether the domain can be reached. A domain that was never probed counts as reachable.
+    /// Whether the domain can be reached. A domain that has never been probed counts as reachable.
     pub fn is_reachable(&self) -> bool {
-        // A domain with fewer hosts than probes is asked the same host again.
+        // In a domain with fewer hosts than this, some hosts are probed more than once.
         self.failures < MAX_FAILURES
     }
 }
--- a/crates/core/src/membership/ring.rs
+++ b/crates/core/src/membership/ring.rs
@@ -1,24 +1,24 @@
-//! Neighbours on the ring of the hosts of a failure domain.
+//! Ring of the hosts of a failure domain, which decides who probes whom.
 
 use smallvec::SmallVec;
 
 use crate::{entity, routing::rendezvous};
 
-/// Keeps the order of the ring apart from the order of owners and chats.
+/// Hash key that makes the order of the ring independent of the order of owners and chats.
 const RING_KEY: u64 = 0x7269_6e67;
 
-/// Hosts at chosen distances on a ring.
+/// Hosts at some distances from a host on the ring.
 pub type Neighbours = SmallVec<[entity::HostId; 8]>;
 
-/// Hosts of a failure domain in an order that every host computes alike.
+/// Hosts of a failure domain in an order that is the same on every host.
 #[derive(Clone, Debug, Default)]
 pub struct Ring {
-    /// Invariant: without repeats, in the order of their hash.
+    /// Invariant: sorted by hash, without duplicates.
     order: Vec<entity::HostId>,
 }
 
 impl Ring {
-    /// Makes the ring of the given hosts.
+    /// Creates the ring of the given hosts.
     pub fn new<I>(hosts: I) -> Self
     where
         I: IntoIterator<Item = entity::HostId>,
@@ -34,7 +34,7 @@
         self.order.len()
     }
 
-    /// The `count` hosts that follow `host`, without itself.
+    /// The `count` hosts that follow `host`, without `host` itself.
     pub fn successors(&self, host: entity::HostId, count: usize) -> Neighbours {
         let count = count.min(self.order.len().saturating_sub(1));
         self.at(host, 1..=count)
--- a/crates/core/src/membership/roster.rs
+++ b/crates/core/src/membership/roster.rs
@@ -1,8 +1,8 @@
-//! The hosts of the fleet, by their entries in the store and by what is heard from them.
+//! The hosts of the fleet, by their entries in the store and by the messages that they send.
 //!
-//! The entry of a host vanishes when its lease ends, which also happens to a host that serves on
-//! but that the store turns away. Such a host depends on the others for news, so they go on
-//! talking to it for [`UNLISTED_RETENTION`].
+//! The entry of a host is removed when its lease expires. This also happens to a host that is
+//! still serving but that the store rejects. Such a host depends on the others for updates, so
+//! they stay linked to it for [`UNLISTED_RETENTION`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,22 +10,22 @@
 
 use crate::time;
 
-/// Time for which others go on talking to a host whose entry is gone.
+/// Time for which others stay linked to a host after its entry was removed.
 pub const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// Silence after which a host whose entry is gone no longer counts as one that serves.
+/// Silence after which a host without an entry no longer counts as live.
 pub const UNLISTED_LIVENESS_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// One host.
 #[derive(Clone, Debug)]
 struct HostRecord<E> {
     entry: E,
-    /// When its entry was record to be gone, or `None` while it is there.
+    /// When this host found the entry to be removed, or `None` while it exists.
     unlisted_since: Option<time::Time>,
     last_heard: Option<time::Time>,
 }
 
-/// Hosts by name. `E` is what their entries say.
+/// Hosts by name. `E` is the content of their entries.
 #[derive(Clone, Debug)]
 pub struct Roster<E> {
     hosts: BTreeMap<Arc<str>, HostRecord<E>>,
@@ -43,7 +43,7 @@
 where
     E: Clone + PartialEq,
 {
-    /// Takes in the entry of a host. Returns whether it is news.
+    /// Adds or replaces the entry of a host. Returns whether the entry changed or was listed anew.
     pub fn put(&mut self, name: Arc<str>, entry: E) -> bool {
         if let Some(record) = self.hosts.get_mut(&name) {
             let changed = record.unlisted_since.is_some() || record.entry != entry;
@@ -60,8 +60,8 @@
         true
     }
 
-    /// Takes in that a host spoke that may have no entry. A host that starts while the store is
-    /// away learns of the others in this way. Returns whether it is news.
+    /// Records a message of a host that may have no entry. This is how a host that starts during
+    /// an outage of the store learns of the others. Returns whether the host is new.
     pub fn discover(&mut self, name: Arc<str>, entry: E, now: time::Time) -> bool {
         if let Some(record) = self.hosts.get_mut(&name) {
             record.last_heard = Some(now);
@@ -76,14 +76,14 @@
         true
     }
 
-    /// Takes in that the entry of a host is gone.
+    /// Records that the entry of a host was removed.
     pub fn remove(&mut self, name: &str, now: time::Time) {
         if let Some(record) = self.hosts.get_mut(name) {
             record.unlisted_since.get_or_insert(now);
         }
     }
 
-    /// Takes in a whole list: entries that it lacks are gone.
+    /// Records that all entries that are not in a complete list were removed.
     pub fn retain_listed(&mut self, listed: &BTreeSet<Arc<str>>, now: time::Time) {
         for (name, record) in &mut self.hosts {
             if !listed.contains(name) {
@@ -92,18 +92,18 @@
         }
     }
 
-    /// Takes in that a host spoke.
+    /// Records that a message of a host arrived.
     pub fn record_contact(&mut self, name: &str, now: time::Time) {
         if let Some(record) = self.hosts.get_mut(name) {
             record.last_heard = Some(now);
         }
     }
 
-    /// Forgets hosts whose entries have been gone for long and that are silent.
+    /// Drops silent hosts whose entries were removed longer ago than [`UNLISTED_RETENTION`].
     pub fn tick(&mut self, now: time::Time) {
         self.hosts.retain(|_, record| {
-            let is_old = |since| now.since(since) > UNLISTED_RETENTION;
-            !record.unlisted_since.is_some_and(is_old) || record.is_recently_heard(now)
+            let has_expired = |since| now.since(since) > UNLISTED_RETENTION;
+            !record.unlisted_since.is_some_and(has_expired) || record.is_recently_heard(now)
         });
     }
 
@@ -120,7 +120,8 @@
         self.hosts.get(name).map(|record| &record.entry)
     }
 
-    /// Whether a host serves, as far as is known.
+    /// Whether a host is live: it has an entry, or a message of it arrived within
+    /// [`UNLISTED_LIVENESS_TIMEOUT`].
     #[must_use]
     pub fn is_live(&self, name: &str, now: time::Time) -> bool {
         let record = self.hosts.get(name);
@@ -128,7 +129,7 @@
             .is_some_and(|record| record.unlisted_since.is_none() || record.is_recently_heard(now))
     }
 
-    /// Hosts that serve, as far as is known.
+    /// Number of live hosts.
     #[must_use]
     pub fn live_count(&self, now: time::Time) -> usize {
         let is_live = |record: &&HostRecord<E>| {
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Views of hosts converge, keep what must be kept, and refute what is wrong.
+//! Views of the membership converge despite loss, and wrong suspicions are refuted.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -55,7 +55,7 @@
     }
 }
 
-/// Hosts whose messages take one step of 50 ms, or are lost.
+/// Simulated hosts that exchange messages in steps of 50 ms. Messages may be lost.
 struct Mesh {
     now: time::Time,
     views: Vec<Membership>,
@@ -63,8 +63,9 @@
     loss: f64,
     /// Hosts that neither send nor answer.
     silent: Vec<bool>,
-    /// Pairs of domains that are cut off from each other.
+    /// Whether the domains are cut off from each other.
     cut: bool,
+    /// Last reported change of a host's usability, by observer and host.
     usable: BTreeMap<(usize, entity::HostId), bool>,
 }
 
@@ -95,13 +96,13 @@
         }
     }
 
-    fn passes(&mut self, from: usize, to: usize) -> bool {
+    fn is_delivered(&mut self, from: usize, to: usize) -> bool {
         let cut = self.cut && from / DOMAIN_HOSTS != to / DOMAIN_HOSTS;
         let lost = self.rng.random_bool(self.loss);
         !cut && !lost && !self.silent[from] && !self.silent[to]
     }
 
-    fn note(&mut self, at: usize, effects: Effects) -> Vec<(entity::HostId, Probe)> {
+    fn apply_effects(&mut self, at: usize, effects: Effects) -> Vec<(entity::HostId, Probe)> {
         let mut sends = Vec::new();
         for effect in effects {
             match effect {
@@ -122,7 +123,7 @@
                 continue;
             }
             let effects = self.views[i].tick(self.now);
-            for (to, probe) in self.note(i, effects) {
+            for (to, probe) in self.apply_effects(i, effects) {
                 self.exchange(i, to, probe);
             }
         }
@@ -130,18 +131,18 @@
 
     fn exchange(&mut self, from: usize, to: entity::HostId, probe: Probe) {
         let j = to.index();
-        if !self.passes(from, j) {
+        if !self.is_delivered(from, j) {
             let effects = self.views[from].handle_probe_failure(self.now, to, false);
-            self.note(from, effects);
+            self.apply_effects(from, effects);
             return;
         }
         let (answer, effects) = self.views[j].handle_probe(self.now, &probe);
-        self.note(j, effects);
-        let effects = match self.passes(j, from) {
+        self.apply_effects(j, effects);
+        let effects = match self.is_delivered(j, from) {
             true => self.views[from].handle_answer(self.now, &answer),
             false => self.views[from].handle_probe_failure(self.now, to, false),
         };
-        self.note(from, effects);
+        self.apply_effects(from, effects);
     }
 
     fn run(&mut self, span: Duration) {
@@ -151,7 +152,7 @@
         }
     }
 
-    fn seen_usable(&self, subject: usize) -> usize {
+    fn views_with_usable(&self, subject: usize) -> usize {
         let others = (0..self.views.len()).filter(|&i| i != subject && !self.silent[i]);
         others
             .filter(|&i| self.views[i].is_usable(host(subject)))
@@ -167,9 +168,9 @@
         mesh.views[3].leave();
         let effects =
             mesh.views[5].set_endpoint_leaving(mesh.now, entity::EndpointId::from_index(2), true);
-        mesh.note(5, effects);
+        mesh.apply_effects(5, effects);
         mesh.run(Duration::from_secs(3));
-        assert_eq!(mesh.seen_usable(3), 0, "seed {seed}");
+        assert_eq!(mesh.views_with_usable(3), 0, "seed {seed}");
         let endpoint = entity::EndpointId::from_index(2);
         assert!(
             mesh.views.iter().all(|view| view.is_leaving(endpoint)),
@@ -179,22 +180,22 @@
 }
 
 #[test]
-fn a_dead_host_drops_out_and_a_restarted_one_comes_back() {
+fn a_dead_host_becomes_unusable_and_a_restarted_one_usable_again() {
     let mut mesh = Mesh::new(1, 7, 0.0);
     mesh.run(Duration::from_secs(2));
     mesh.silent[4] = true;
     mesh.run(Duration::from_secs(6));
-    assert_eq!(mesh.seen_usable(4), 0);
+    assert_eq!(mesh.views_with_usable(4), 0);
     let list = list(1, 1);
     mesh.views[4] = Membership::new(Config::default(), host(4), domain(0));
     mesh.views[4].apply_host_list(mesh.now, &list);
     mesh.silent[4] = false;
     mesh.run(Duration::from_secs(4));
-    assert_eq!(mesh.seen_usable(4), DOMAIN_HOSTS - 1);
+    assert_eq!(mesh.views_with_usable(4), DOMAIN_HOSTS - 1);
 }
 
 #[test]
-fn a_short_pause_is_refuted_and_changes_nothing() {
+fn a_suspicion_after_a_short_pause_is_refuted_without_any_change() {
     let mut mesh = Mesh::new(1, 8, 0.0);
     mesh.run(Duration::from_secs(2));
     mesh.silent[4] = true;
@@ -202,17 +203,17 @@
     mesh.silent[4] = false;
     mesh.usable.clear();
     mesh.run(Duration::from_secs(10));
-    assert_eq!(mesh.seen_usable(4), DOMAIN_HOSTS - 1);
-    let told = mesh
+    assert_eq!(mesh.views_with_usable(4), DOMAIN_HOSTS - 1);
+    let changes = mesh
         .usable
         .iter()
-        .filter(|((_, about), _)| *about == host(4))
+        .filter(|((_, changed), _)| *changed == host(4))
         .count();
-    assert_eq!(told, 0, "no view changed");
+    assert_eq!(changes, 0, "no view changed");
 }
 
 #[test]
-fn a_domain_that_is_cut_off_drops_out_and_rejoins() {
+fn a_domain_that_is_cut_off_becomes_unreachable_and_reachable_again() {
     let mut mesh = Mesh::new(3, 9, 0.0);
     mesh.run(Duration::from_secs(3));
     mesh.cut = true;
@@ -222,7 +223,7 @@
         for other in 0..3 {
             assert_eq!(view.is_reachable(domain(other)), own == other);
         }
-        // Each domain goes on with its own hosts, and judges no host of another.
+        // Each domain keeps its own hosts in use, and suspects no host of another domain.
         assert!(
             (0..mesh.views.len())
                 .filter(|&j| j != i)
@@ -239,7 +240,7 @@
 }
 
 #[test]
-fn a_flapping_endpoint_is_held_out_until_it_is_steady() {
+fn a_flapping_endpoint_is_suppressed_until_it_is_stable() {
     let mut view = Membership::new(Config::default(), host(0), domain(0));
     let mut now = time::Time::from_secs(1);
     view.apply_host_list(now, &list(1, 1));
@@ -251,18 +252,18 @@
         now += Duration::from_millis(500);
     }
     view.tick(now);
-    assert!(view.is_leaving(endpoint), "held out");
+    assert!(view.is_leaving(endpoint), "suppressed");
     now += Duration::from_secs(60);
     view.tick(now);
-    assert!(!view.is_leaving(endpoint), "let in again");
+    assert!(!view.is_leaving(endpoint), "usable again");
 }
 
 #[test]
-fn a_suspicion_does_not_hide_that_a_host_leaves() {
+fn a_suspicion_does_not_hide_that_a_host_is_leaving() {
     let mut view = Membership::new(Config::default(), host(0), domain(0));
     let now = time::Time::from_secs(1);
     view.apply_host_list(now, &list(1, 1));
-    let told = |incarnation, status| Probe {
+    let probe = |incarnation, status| Probe {
         from: host(2),
         receiver: None,
         updates: [Update {
@@ -273,10 +274,10 @@
         .into_iter()
         .collect(),
     };
-    view.handle_probe(now, &told(1, Status::Leaving));
-    view.handle_probe(now, &told(1, Status::Suspect));
+    view.handle_probe(now, &probe(1, Status::Leaving));
+    view.handle_probe(now, &probe(1, Status::Suspect));
     assert!(!view.is_usable(host(1)));
-    view.handle_probe(now, &told(2, Status::Alive));
+    view.handle_probe(now, &probe(2, Status::Alive));
     view.tick(now + Duration::from_secs(30));
     assert!(view.is_usable(host(1)));
 }
@@ -309,7 +310,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Two hosts that hear the same updates in any order, any number of times, agree.
+    /// Two hosts that receive the same updates in any order, any number of times, agree.
     #[test]
     fn the_order_and_number_of_messages_do_not_matter(
         first in prop::collection::vec(updates(), 1..40),
@@ -321,7 +322,7 @@
         for i in (1..again.len()).rev() {
             again.swap(i, rng.random_range(0..=i));
         }
-        let hear = |updates: &[Update]| {
+        let receive = |updates: &[Update]| {
             let mut view = Membership::new(Config::default(), host(0), domain(0));
             let now = time::Time::from_secs(1);
             view.apply_host_list(now, &list(1, 1));
@@ -329,12 +330,12 @@
                 let updates = [*update].into_iter().collect();
                 view.handle_probe(now, &Probe { from: host(1), receiver: None, updates });
             }
-            // Long enough for suspicions to be confirmed and for what was held out to be let in.
+            // Long enough for suspicions to be confirmed and for flap damping to end.
             view.tick(now + Duration::from_secs(5));
             view.tick(now + Duration::from_secs(200));
             view
         };
-        let (a, b) = (hear(&first), hear(&again));
+        let (a, b) = (receive(&first), receive(&again));
         for i in 1..DOMAIN_HOSTS {
             prop_assert_eq!(a.is_usable(host(i)), b.is_usable(host(i)));
         }
--- a/crates/core/tests/overlay.rs
+++ b/crates/core/tests/overlay.rs
@@ -1,4 +1,4 @@
-//! Who talks to whom, and the sums of the hosts' work that travel over those links.
+//! Links of the overlay, and the load reports that hosts send over them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 
 const NOW: time::Time = time::Time::from_secs(10);
 
-/// A fleet of hosts in as many domains, in turn.
+/// A fleet of hosts, assigned to the domains in turn.
 fn fleet(hosts: usize, domains: usize) -> Vec<OverlayHost> {
     (0..hosts)
         .map(|i| OverlayHost {
@@ -24,29 +24,29 @@
         .collect()
 }
 
-fn overlays(places: &[OverlayHost]) -> BTreeMap<Arc<str>, Overlay> {
-    let overlay = |place: &OverlayHost| Overlay::new(&place.name, &place.domain, places);
-    places
+fn overlays(fleet_hosts: &[OverlayHost]) -> BTreeMap<Arc<str>, Overlay> {
+    let overlay = |host: &OverlayHost| Overlay::new(&host.name, &host.domain, fleet_hosts);
+    fleet_hosts
         .iter()
-        .map(|place| (place.name.clone(), overlay(place)))
+        .map(|host| (host.name.clone(), overlay(host)))
         .collect()
 }
 
 #[test]
-fn a_small_fleet_talks_all_to_all() {
-    let places = fleet(FULL_MESH_MAX_PEERS + 1, 3);
-    for overlay in overlays(&places).values() {
+fn a_small_fleet_is_a_full_mesh() {
+    let fleet_hosts = fleet(FULL_MESH_MAX_PEERS + 1, 3);
+    for overlay in overlays(&fleet_hosts).values() {
         assert_eq!(overlay.role, Role::Mesh);
         assert_eq!(overlay.links.len(), FULL_MESH_MAX_PEERS);
     }
 }
 
-/// News of any host reaches all others in three steps, over two links of most hosts.
+/// A message of any host reaches all others in three hops, and most hosts have only two links.
 #[test]
-fn news_reaches_everyone_in_three_steps() {
+fn a_message_reaches_every_host_in_three_hops() {
     for (hosts, domains) in [(14, 2), (82, 3), (67, 4), (420, 8)] {
-        let places = fleet(hosts, domains);
-        let overlays = overlays(&places);
+        let fleet_hosts = fleet(hosts, domains);
+        let overlays = overlays(&fleet_hosts);
         for start in ["host-000", "host-013"] {
             let mut reached: BTreeSet<Arc<str>> = BTreeSet::from([start.into()]);
             for _ in 0..3 {
@@ -58,17 +58,19 @@
             }
             assert_eq!(reached.len(), hosts);
         }
-        let members = overlays.values().filter(|s| s.role == Role::Member);
+        let members = overlays
+            .values()
+            .filter(|overlay| overlay.role == Role::Member);
         assert!(members.clone().count() >= hosts - domains * RELAYS_PER_DOMAIN);
         members.for_each(|overlay| assert_eq!(overlay.links.len(), RELAYS_PER_DOMAIN));
     }
 }
 
 #[test]
-fn another_host_takes_the_place_of_a_lost_relay() {
-    let mut places = fleet(82, 3);
-    places[0].is_live = false;
-    let overlay = Overlay::new("host-030", "dom-0", &places);
+fn another_host_replaces_a_lost_relay() {
+    let mut fleet_hosts = fleet(82, 3);
+    fleet_hosts[0].is_live = false;
+    let overlay = Overlay::new("host-030", "dom-0", &fleet_hosts);
     assert_eq!(overlay.relays.len(), RELAYS_PER_DOMAIN);
     assert!(!overlay.is_own_relay("host-000"));
 }
@@ -83,37 +85,38 @@
     }
 }
 
-/// Lets every host tell its work once, relays after their hosts.
+/// Lets every host report its work once, relays after the other hosts of their domain.
 fn exchange(
-    places: &[OverlayHost],
+    fleet_hosts: &[OverlayHost],
     own: &dyn Fn(&str) -> Vec<EndpointLoad>,
 ) -> BTreeMap<Arc<str>, WorkByEndpoint> {
-    let overlays = overlays(places);
+    let overlays = overlays(fleet_hosts);
     let mut reports: BTreeMap<Arc<str>, LoadReports> = BTreeMap::new();
-    let tell = |reports: &mut BTreeMap<Arc<str>, LoadReports>, from: &Arc<str>, to: &Arc<str>| {
-        let heard = reports.entry(to.clone()).or_default();
-        heard.record_contact(from, NOW);
-        heard.set_own_load(from, own(from));
-    };
+    let send_own =
+        |reports: &mut BTreeMap<Arc<str>, LoadReports>, from: &Arc<str>, to: &Arc<str>| {
+            let receiver = reports.entry(to.clone()).or_default();
+            receiver.record_contact(from, NOW);
+            receiver.set_own_load(from, own(from));
+        };
     for (from, overlay) in &overlays {
         overlay
             .links
             .iter()
-            .for_each(|to| tell(&mut reports, from, to));
+            .for_each(|to| send_own(&mut reports, from, to));
     }
     let relays: Vec<_> = overlays
         .iter()
         .filter(|(_, overlay)| overlay.role == Role::Relay)
         .collect();
     for (from, overlay) in &relays {
-        let carried = reports[*from].domain_total(overlay, &own(from));
+        let total = reports[*from].domain_total(overlay, &own(from));
         for to in overlay
             .links
             .iter()
             .filter(|to| overlay.is_foreign_relay(to))
         {
-            let heard = reports.get_mut(to).expect("it was told before");
-            heard.set_relayed_load(from, carried.clone());
+            let receiver = reports.get_mut(to).expect("it received a report before");
+            receiver.set_relayed_load(from, total.clone());
         }
     }
     for (from, overlay) in &relays {
@@ -123,9 +126,9 @@
             .iter()
             .filter(|to| !overlay.is_foreign_relay(to));
         for to in members.filter(|to| !overlay.is_own_relay(to)) {
-            let carried = reports[*from].total_except(to, &others, &own(from));
-            let heard = reports.get_mut(to).expect("it was told before");
-            heard.set_relayed_load(from, carried);
+            let total = reports[*from].total_except(to, &others, &own(from));
+            let receiver = reports.get_mut(to).expect("it received a report before");
+            receiver.set_relayed_load(from, total);
         }
     }
     overlays
@@ -134,16 +137,16 @@
         .collect()
 }
 
-/// Every host learns the work of all others, counted once, whether the fleet is small or large.
+/// Every host learns the work of all others, counted once, in a full mesh and with relays.
 #[test]
 fn every_host_learns_the_work_of_all_others() {
     for (hosts, domains) in [(8, 3), (82, 3), (67, 4)] {
-        let places = fleet(hosts, domains);
-        let works = exchange(&places, &|name| {
+        let fleet_hosts = fleet(hosts, domains);
+        let loads = exchange(&fleet_hosts, &|name| {
             let number: u32 = name[5..].parse().expect("a number");
             vec![load(7, 1), load(100 + u64::from(number % 5), 2)]
         });
-        for (name, work) in works {
+        for (name, work) in loads {
             assert_eq!(work[&7].requests as usize, hosts - 1, "{name}");
             let total: u32 = work.values().map(|w| w.requests).sum();
             assert_eq!(total as usize, 3 * (hosts - 1), "{name}");
@@ -152,7 +155,7 @@
 }
 
 #[test]
-fn what_a_silent_host_told_no_longer_counts() {
+fn the_report_of_a_silent_host_expires() {
     let mut reports = LoadReports::default();
     let overlay = Overlay::default();
     let name: Arc<str> = "host-001".into();
--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Hosts whose entries vanish while they serve on.
+//! Hosts whose entries are removed while they are still serving.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_host_whose_entry_is_gone_is_still_talked_to() {
+fn a_host_without_an_entry_is_retained_for_a_while() {
     let mut roster = roster::Roster::default();
     let now = time::Time::from_secs(10);
     roster.put(name("a"), 1);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_host_without_an_entry_counts_while_it_speaks() {
+fn a_host_without_an_entry_is_live_while_its_messages_arrive() {
     let mut roster = roster::Roster::default();
     let now = time::Time::from_secs(10);
     roster.put(name("a"), 1);
@@ -39,10 +39,11 @@
     assert_eq!(roster.live_count(later), 1);
 }
 
-/// An incident of Bocage: hosts that were started again while the store was down knew nobody, and
-/// refused for three seconds although the others were linked to them.
+/// Regression test: hosts that restarted during an outage of the store knew no other host, and
+/// refused requests for three seconds although other hosts were linked to them (seen in the
+/// deployment Bocage).
 #[test]
-fn a_host_that_speaks_is_known_without_an_entry() {
+fn a_host_is_discovered_by_its_messages_without_an_entry() {
     let mut roster = roster::Roster::default();
     let now = time::Time::from_secs(10);
     assert!(roster.discover(name("a"), 1, now));
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn an_entry_that_returns_is_news() {
+fn an_entry_that_returns_counts_as_changed() {
     let mut roster = roster::Roster::default();
     assert!(roster.put(name("a"), 1));
     assert!(!roster.put(name("a"), 1));
