--- a/crates/core/src/directory/endpoint.rs
+++ b/crates/core/src/directory/endpoint.rs
@@ -1,4 +1,4 @@
-//! What is known of one endpoint.
+//! An endpoint and its identity.
 
 use std::fmt;
 use std::net;
@@ -10,23 +10,23 @@
 pub enum State {
     /// It takes new work.
     Ready,
-    /// It finishes what it has and then leaves.
+    /// It finishes the work that it has and then leaves.
     Leaving,
 }
 
-/// One life of an endpoint. Its address may come to belong to another one, and its id to a later
-/// life that knows nothing of this one.
+/// Identity of one incarnation of an endpoint. Its address may be reassigned to another endpoint,
+/// and its id may be reused by a later incarnation that has none of its state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Identity {
-    /// Id that the endpoint gave itself.
+    /// Id under which the endpoint registered itself.
     pub id: Arc<str>,
-    /// Start of this life, in milliseconds since the Unix epoch; 0 if it was not told.
+    /// Start of this incarnation, in milliseconds since the Unix epoch; 0 if it is not known.
     #[serde(rename = "born")]
     pub started_at_ms: u64,
 }
 
 impl Identity {
-    /// Hash that every host computes alike.
+    /// Hash of the identity, the same on every host.
     #[must_use]
     pub fn hash(&self) -> u64 {
         xxhash_rust::xxh3::xxh3_64_with_seed(self.id.as_bytes(), self.started_at_ms)
@@ -39,27 +39,27 @@
     }
 }
 
-/// An endpoint as its entry describes it.
+/// An endpoint, as its entry in the store describes it.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Endpoint {
-    /// Which life of which endpoint it is.
+    /// Identity of this incarnation.
     pub identity: Identity,
     /// Name of its service.
     pub service: Arc<str>,
-    /// Address that takes requests.
+    /// Address that accepts requests.
     pub address: net::SocketAddr,
-    /// Failure domain that it stands in.
+    /// Failure domain of the endpoint.
     pub domain: Arc<str>,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
     /// Whether it takes new work.
     pub state: State,
-    /// Number of the write of its entry, which grows within one life.
+    /// Sequence number of the write of its entry, which grows within one incarnation.
     pub heartbeat: u64,
 }
 
 impl Endpoint {
-    /// Whether both describe the same endpoint, whenever they were written.
+    /// Whether both entries are equal except for their heartbeats.
     #[must_use]
     pub fn eq_ignoring_heartbeat(&self, other: &Self) -> bool {
         let Self {
@@ -79,11 +79,11 @@
             && *state == other.state
     }
 
-    /// Whether this entry was written before the other one, whatever order they arrived in. A
-    /// write that was held up on its way may come after the writes that followed it.
+    /// Whether this entry was written before the other one, regardless of the order of their
+    /// revisions. A delayed write may reach the store after writes that were sent later.
     #[must_use]
     pub fn is_older_than(&self, other: &Self) -> bool {
-        let age = |endpoint: &Self| (endpoint.identity.started_at_ms, endpoint.heartbeat);
-        self.identity.id == other.identity.id && age(self) < age(other)
+        let order = |endpoint: &Self| (endpoint.identity.started_at_ms, endpoint.heartbeat);
+        self.identity.id == other.identity.id && order(self) < order(other)
     }
 }
--- a/crates/core/src/directory/mod.rs
+++ b/crates/core/src/directory/mod.rs
@@ -1,10 +1,11 @@
-//! The endpoints that a host knows, from the store and from other hosts.
+//! Directory of the endpoints that a host knows from the store and from other hosts.
 //!
-//! Each record carries the revision at which the store wrote it, and a record gives way only to a
-//! newer one, so late events and peers that are behind change nothing. Entries that vanish around
-//! an outage of the store may belong to endpoints that live on and could not renew them: they stay
-//! in use until the store has been back for [`RENEWAL_GRACE`]. A removal in calm times, and an
-//! endpoint that says that it is leaving, take effect at once.
+//! Each record carries the revision at which the store wrote it, and only a newer one replaces it,
+//! so late events and outdated peers change nothing. Entries that disappear around an outage of
+//! the store may belong to live endpoints that could not renew their leases. Their removal is
+//! unconfirmed, and they stay in use, until the store has been available again for
+//! [`RENEWAL_GRACE`]. A removal at any other time, and an endpoint's announcement that it is
+//! leaving, take effect at once.
 
 mod endpoint;
 mod record;
@@ -19,16 +20,16 @@
 
 use crate::{revision, time};
 
-/// Longest time that the record of a removed endpoint is kept, so that an older entry of it that
-/// arrives late is known to be older.
+/// Time for which the record of a removed entry is kept, so that an older entry of the endpoint
+/// that arrives late is recognised as older.
 pub const TOMBSTONE_RETENTION: std::time::Duration = std::time::Duration::from_secs(60);
 
-/// Who tells of an entry.
+/// Where an entry or its removal comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The store. What it no longer holds may have lapsed.
+    /// The store. An entry that it no longer has may have expired during an outage.
     Store,
-    /// Another host, which tells only of removals that it has found to be final.
+    /// Another host, which forwards only confirmed removals.
     Host,
 }
 
@@ -36,10 +37,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     records: HashMap<Arc<str>, Record>,
-    /// All changes of the endpoints in use, up to and with this revision, are known.
+    /// All changes of the endpoints in use up to and including this revision are known.
     complete_revision: revision::Revision,
-    /// Revision of the last known change of the endpoints in use. Most entries change without
-    /// one, since endpoints write them again and again.
+    /// Revision of the last known change of the endpoints in use. Most writes are renewals by
+    /// endpoints, which change only the heartbeat and do not count.
     last_change: revision::Revision,
     outage: StoreOutage,
 }
@@ -56,7 +57,7 @@
         now: time::Time,
     ) -> bool {
         if source == Source::Store {
-            // What the store tells shows that it answers, whatever other calls came to.
+            // An event of the store shows that it is available, even if other calls failed.
             self.outage.record_call(true, now);
         }
         let known = self.records.get(key);
@@ -91,8 +92,8 @@
         changed
     }
 
-    /// Replaces everything by a full and current list that the store gave at `revision`. Entries
-    /// that it lacks count as removed. Returns whether the endpoints in use changed.
+    /// Replaces all records by a complete list that the store returned at `revision`. Entries that
+    /// are not in the list count as removed. Returns whether the endpoints in use changed.
     pub fn replace(
         &mut self,
         entries: Vec<(Arc<str>, revision::Revision, Option<Arc<Endpoint>>)>,
@@ -118,20 +119,20 @@
         changed
     }
 
-    /// Notes that all changes up to and with a revision are known.
+    /// Records that all changes up to and including a revision are known.
     pub fn mark_complete(&mut self, revision: revision::Revision) {
         self.complete_revision = self.complete_revision.max(revision);
     }
 
-    /// Revision up to and with which all changes are known.
+    /// Revision up to and including which all changes are known.
     #[must_use]
     pub const fn complete_revision(&self) -> revision::Revision {
         self.complete_revision
     }
 
-    /// Revision up to and with which [`Directory::newer_than`] gives another host all changes. What
-    /// has lapsed is told once that is final, so it must still be asked for then, here or of a host
-    /// that knows when the entry was removed.
+    /// Revision up to and including which [`Directory::newer_than`] gives another host all changes.
+    /// Unconfirmed removals are left out until they are confirmed, so the other host must be able
+    /// to ask for them later, here or at a host that knows when the entry was removed.
     #[must_use]
     pub fn complete_revision_for_peers(&self) -> revision::Revision {
         let unconfirmed = self.records.values().filter_map(|r| r.unconfirmed_after);
@@ -144,18 +145,18 @@
         self.last_change
     }
 
-    /// Notes whether the store answers.
+    /// Records whether the store answered a call.
     pub fn record_store_call(&mut self, answered: bool, now: time::Time) {
         self.outage.record_call(answered, now);
     }
 
-    /// Takes in what another host says of its calls to the store.
+    /// Applies another host's report about its calls to the store.
     pub fn apply_store_observation(&mut self, observation: StoreObservation) {
         self.outage.apply_observation(observation);
     }
 
-    /// Ends what has lapsed for good and forgets old removals. Returns the keys of the entries
-    /// that lapsed, with the revisions of their removal.
+    /// Confirms removals that are no longer uncertain, and drops the records of old ones. Returns
+    /// the keys of the entries whose removal was confirmed, with the revisions of the removal.
     pub fn tick(&mut self, now: time::Time) -> Vec<(Arc<str>, revision::Revision)> {
         let mut confirmed = Vec::new();
         if !self.outage.is_removal_uncertain(now) {
@@ -176,14 +177,14 @@
         self.records.values().filter_map(Record::usable)
     }
 
-    /// Endpoints that finish what they have before they leave.
+    /// Endpoints that finish the work that they have before they leave.
     pub fn leaving(&self) -> impl Iterator<Item = &Arc<Endpoint>> {
         let present = self.records.values().filter_map(|r| r.endpoint.as_ref());
         present.filter(|endpoint| endpoint.state == State::Leaving)
     }
 
-    /// Records that are newer than a revision, for a host that is behind. What has lapsed is left
-    /// out, since that host decides on it by what it sees of the store.
+    /// Records that are newer than a revision, for a host that is behind. Unconfirmed removals are
+    /// left out, since that host decides on them by its own observations of the store.
     pub fn newer_than(
         &self,
         revision: revision::Revision,
--- a/crates/core/src/directory/record.rs
+++ b/crates/core/src/directory/record.rs
@@ -1,22 +1,23 @@
-//! What a host knows of one entry.
+//! A host's record of one entry.
 
 use std::sync::Arc;
 
 use crate::directory::{Endpoint, State};
 use crate::{revision, time};
 
-/// One entry at its newest known revision.
+/// One entry at its latest known revision.
 #[derive(Clone, Debug)]
 pub struct Record {
     /// Revision of the last change of the entry.
     pub revision: revision::Revision,
-    /// The endpoint, or `None` if the entry is gone or cannot be used.
+    /// The endpoint, or `None` if the entry was removed or cannot be used.
     pub endpoint: Option<Arc<Endpoint>>,
-    /// Set while the entry is gone and the endpoint is kept in use for the time being: the last
-    /// revision at which the entry is known to have been there. Its removal may have come at any
-    /// revision after that one, since a list only shows that the entry is gone by then.
+    /// Set while the entry's removal is unconfirmed and the endpoint stays in use: the last
+    /// revision at which the entry is known to have existed. The removal may have happened at any
+    /// later revision, since a list only shows that it happened before the list was read.
     pub unconfirmed_after: Option<revision::Revision>,
-    /// The last usable entry under this key, by which an older one that arrives late is known.
+    /// The last usable entry under this key, which shows whether an entry that arrives later is
+    /// older.
     pub last_endpoint: Option<Arc<Endpoint>>,
     /// When this host learned of the change.
     pub learned_at: time::Time,
@@ -38,8 +39,8 @@
         }
     }
 
-    /// The record of the entry once it is gone by `revision` and its endpoint is kept in use, or
-    /// `None` if there is no endpoint to keep.
+    /// Returns the record of the entry after an unconfirmed removal that happened at `revision` or
+    /// before, or `None` if there is no endpoint to keep in use.
     pub(super) fn with_unconfirmed_removal(
         &self,
         revision: revision::Revision,
@@ -55,7 +56,7 @@
         })
     }
 
-    /// Whether the entry is gone and the endpoint is kept in use for the time being.
+    /// Whether the entry's removal is unconfirmed, so that the endpoint stays in use.
     #[must_use]
     pub const fn is_removal_unconfirmed(&self) -> bool {
         self.unconfirmed_after.is_some()
@@ -71,13 +72,13 @@
         }
     }
 
-    /// Whether the entry still names an endpoint.
+    /// Whether the record has an endpoint.
     #[must_use]
     pub const fn is_present(&self) -> bool {
         self.endpoint.is_some()
     }
 
-    /// Whether the same endpoint may be used under both records.
+    /// Whether both records have the same usable endpoint, or neither has one.
     pub(super) fn has_same_usable_endpoint(&self, other: Option<&Self>) -> bool {
         match (self.usable(), other.and_then(Self::usable)) {
             (Some(one), Some(other)) => one.eq_ignoring_heartbeat(other),
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Ends the use of an endpoint whose entry is gone. Returns whether it had been kept.
+    /// Confirms the removal of the entry, which ends the use of its endpoint. Returns whether the
+    /// removal was unconfirmed before.
     pub(super) fn confirm_removal(&mut self, now: time::Time) -> bool {
         if !self.is_removal_unconfirmed() {
             return false;
--- a/crates/core/src/directory/store_outage.rs
+++ b/crates/core/src/directory/store_outage.rs
@@ -1,37 +1,36 @@
-//! Tells removals in calm times from entries that lapsed while the store was away.
+//! Distinguishes deliberate removals from leases that expired because of an outage of the store.
 
 use std::time::Duration;
 
 use crate::time;
 
-/// Time after the return of the store within which endpoints that live on write their entries
-/// again.
+/// Time after the recovery of the store within which live endpoints write their entries again.
 pub const RENEWAL_GRACE: Duration = Duration::from_millis(2_200);
 
-/// Time into an outage after which an answer of the store to another host proves that it was not
-/// away for all: hosts do not notice an outage at the same moment.
+/// Time after the start of an outage from which on an answer of the store to another host proves
+/// that not all hosts were affected. Hosts do not detect an outage at the same moment.
 const OUTAGE_DETECTION_SKEW: Duration = Duration::from_millis(500);
 
-/// When the store was last away, as this host saw it.
+/// The latest outage of the store, as this host observed it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreOutage {
-    /// When the store first failed to answer, while it is away and for a while after.
+    /// When the store first failed to answer. Remains set after the recovery.
     outage_since: Option<time::Time>,
-    /// When it answered again.
+    /// When the store answered again.
     recovered_at: Option<time::Time>,
 }
 
-/// What another host says of its calls to the store.
+/// Another host's report about its own calls to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreObservation {
-    /// Since when every call was answered.
+    /// Time since which every call has been answered.
     pub answering_since: time::Time,
     /// When the last call was answered.
     pub last_answered: time::Time,
 }
 
 impl StoreOutage {
-    /// Notes whether the store answers.
+    /// Records whether the store answered a call.
     pub fn record_call(&mut self, answered: bool, now: time::Time) {
         match (answered, self.outage_since, self.recovered_at) {
             (false, None, _) | (false, Some(_), Some(_)) => {
@@ -45,9 +44,9 @@
         }
     }
 
-    /// Takes in what another host says. If the store answered it all the while, it was away for
-    /// this host only, and no endpoint failed to renew its entry. If the store has answered it for
-    /// [`RENEWAL_GRACE`], every endpoint that lives on has written its entry again.
+    /// Applies another host's report. If the store answered that host throughout, it was
+    /// unavailable to this host only, and every endpoint could renew its entry. If it has answered
+    /// that host for [`RENEWAL_GRACE`], every live endpoint has written its entry again.
     pub fn apply_observation(&mut self, observation: StoreObservation) {
         let Some(start) = self.outage_since else {
             return;
@@ -62,7 +61,7 @@
         }
     }
 
-    /// Whether a removal that is seen now may be that of an endpoint that lives on.
+    /// Whether an entry that is removed now may belong to a live endpoint.
     #[must_use]
     pub fn is_removal_uncertain(&self, now: time::Time) -> bool {
         let is_over = |back| now.since(back) >= RENEWAL_GRACE;
--- a/crates/core/tests/directory.rs
+++ b/crates/core/tests/directory.rs
@@ -1,4 +1,5 @@
-//! Endpoints known from the store and from other hosts: late entries, lapses and leaving.
+//! Endpoints known from the store and from other hosts: late entries, unconfirmed removals and
+//! leaving endpoints.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn removal_in_calm_times_takes_effect_at_once() {
+fn removal_without_an_outage_takes_effect_at_once() {
     let mut world = World::new();
     assert!(world.put(1, 1, State::Ready));
     assert!(world.remove(2, Source::Store));
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn entries_that_lapse_around_an_outage_stay_until_the_grace_ends() {
+fn entries_that_expire_around_an_outage_stay_in_use_until_the_grace_ends() {
     let mut world = World::new();
     world.put(1, 1, State::Ready);
     world.directory.record_store_call(false, world.now);
@@ -115,8 +116,9 @@
     assert!(world.is_usable());
 }
 
-/// Trouble-1 of Bocage: a host that was cut off from the store for 8 s used an endpoint that had
-/// left 2.5 s before, since it took the removal for a lapse.
+/// Regression test: a host that was cut off from the store for 8 s used an endpoint that had left
+/// 2.5 s before, since it took the removal for an expiry caused by an outage (scenario `trouble-1`
+/// of the deployment Bocage).
 #[test]
 fn an_outage_of_one_host_is_no_reason_to_keep_a_removed_endpoint() {
     let mut world = World::new();
@@ -134,7 +136,7 @@
 }
 
 #[test]
-fn a_host_that_noticed_the_outage_too_proves_nothing() {
+fn a_report_of_a_host_that_saw_the_outage_too_does_not_end_it() {
     let mut world = World::new();
     world.put(1, 1, State::Ready);
     let cut = world.now;
@@ -153,11 +155,12 @@
     assert!(world.is_usable());
 }
 
-/// Grown Bocage, trouble-1: a host lost the store, got the news from a relay from then on and so
-/// never tried the store itself again, but for the one watch that told of the removal. It used
-/// the endpoint 3.4 s after it had left, and would have gone on.
+/// Regression test: a host lost the store and received changes from a relay from then on, so it
+/// made no further call to the store, except for one watch that reported the removal. It used the
+/// endpoint 3.4 s after it had left, and would have continued to (scenario `trouble-1` of the
+/// grown deployment Bocage).
 #[test]
-fn a_removal_that_the_store_itself_tells_of_shows_that_it_is_back() {
+fn a_removal_reported_by_the_store_shows_that_the_store_is_available() {
     let mut world = World::new();
     world.put(1, 1, State::Ready);
     world.directory.record_store_call(false, world.now);
@@ -168,8 +171,8 @@
     assert!(!world.is_usable());
 }
 
-/// The same day: the relay had lost the store as well, but has had answers for longer than an entry
-/// of an endpoint that lives on can be missing.
+/// Found with the failure above: the relay had lost the store as well, but had been getting answers
+/// for longer than the entry of a live endpoint can be missing.
 #[test]
 fn an_outage_is_over_once_the_store_has_answered_another_host_for_the_grace() {
     let is_final_after = |answering: Duration| {
@@ -189,7 +192,7 @@
 }
 
 #[test]
-fn a_removal_that_another_host_tells_of_is_final() {
+fn a_removal_reported_by_another_host_is_final() {
     let mut world = World::new();
     world.put(1, 1, State::Ready);
     world.directory.record_store_call(false, world.now);
@@ -198,7 +201,7 @@
 }
 
 #[test]
-fn a_write_that_was_held_up_does_not_bring_an_endpoint_back() {
+fn a_delayed_write_does_not_bring_an_endpoint_back() {
     let mut world = World::new();
     world.put(1, 5, State::Ready);
     world.put(2, 6, State::Leaving);
@@ -210,15 +213,15 @@
 }
 
 #[test]
-fn a_new_life_under_the_same_id_is_used() {
+fn a_new_incarnation_under_the_same_id_is_used() {
     let mut world = World::new();
     world.put(1, 50, State::Leaving);
-    let reborn = endpoint("ep", 2, 1, State::Ready);
+    let restarted = endpoint("ep", 2, 1, State::Ready);
     let source = Source::Store;
     let key = world.key.clone();
     world
         .directory
-        .apply(&key, at(2), Some(reborn), source, world.now);
+        .apply(&key, at(2), Some(restarted), source, world.now);
     assert!(world.is_usable());
 }
 
@@ -231,7 +234,7 @@
 }
 
 #[test]
-fn a_host_that_is_behind_gets_what_it_lacks() {
+fn a_host_that_is_behind_gets_the_changes_that_it_lacks() {
     let mut ahead = World::new();
     ahead.put(1, 1, State::Ready);
     ahead.put(2, 2, State::Leaving);
@@ -250,13 +253,13 @@
     assert!(!behind.is_usable());
 }
 
-/// Lets a host ask another one, if it lacks anything, and returns whether it did.
-fn ask(asker: &mut World, told: &World) -> bool {
-    if told.directory.last_change() <= asker.directory.complete_revision() {
+/// Lets a host fetch the changes that it lacks from another one. Returns whether it lacked any.
+fn fetch_changes(asker: &mut World, source_host: &World) -> bool {
+    if source_host.directory.last_change() <= asker.directory.complete_revision() {
         return false;
     }
-    let complete = told.directory.complete_revision_for_peers();
-    let records: Vec<_> = told
+    let complete = source_host.directory.complete_revision_for_peers();
+    let records: Vec<_> = source_host
         .directory
         .newer_than(asker.directory.complete_revision())
         .map(|(key, record)| (key.clone(), record.revision, record.endpoint.clone()))
@@ -270,9 +273,9 @@
     true
 }
 
-/// Two hosts that know one endpoint, of which the first one has since seen its entry vanish right
-/// after the store was away.
-fn relay_with_a_lapse() -> (World, World) {
+/// Two hosts that know one endpoint. The first one, a relay, has since seen the endpoint's entry
+/// removed right after an outage of the store.
+fn relay_with_unconfirmed_removal() -> (World, World) {
     let mut relay = World::new();
     let mut member = World::new();
     for world in [&mut relay, &mut member] {
@@ -285,12 +288,13 @@
     (relay, member)
 }
 
-/// Grown Lombardy, `reuse-and-resets` with seed 479728404167: a relay that had lost the store held a
-/// removed endpoint for lapsed and told others of all changes but that one. They never heard of
-/// it, and one sent to the endpoint 3.5 s after it had left.
+/// Regression test: a relay that had lost the store treated a removal as unconfirmed and forwarded
+/// all changes except that one. The other hosts never learned of it, and one sent a request to the
+/// endpoint 3.5 s after it had left (scenario `reuse-and-resets` of the grown deployment Lombardy,
+/// seed 479728404167).
 #[test]
-fn others_hear_of_a_removal_that_was_first_taken_for_a_lapse() {
-    let (mut relay, mut member) = relay_with_a_lapse();
+fn a_removal_that_was_unconfirmed_at_first_reaches_other_hosts() {
+    let (mut relay, mut member) = relay_with_unconfirmed_removal();
     let other: Arc<str> = "other".into();
     let source = Source::Store;
     let ready = endpoint("other", 1, 1, State::Ready);
@@ -298,31 +302,32 @@
         .directory
         .apply(&other, at(3), Some(ready), source, relay.now);
     relay.directory.mark_complete(at(3));
-    assert!(ask(&mut member, &relay));
+    assert!(fetch_changes(&mut member, &relay));
     assert_eq!(member.directory.usable().count(), 2);
     relay.pass(3_000);
     assert_eq!(relay.directory.usable().count(), 1);
-    assert!(ask(&mut member, &relay));
+    assert!(fetch_changes(&mut member, &relay));
     assert_eq!(member.directory.usable().count(), 1);
-    assert!(!ask(&mut member, &relay));
+    assert!(!fetch_changes(&mut member, &relay));
 }
 
 #[test]
-fn the_end_of_a_lapse_is_a_change_that_others_ask_for() {
-    let (mut relay, mut member) = relay_with_a_lapse();
+fn a_confirmed_removal_is_a_change_that_others_fetch() {
+    let (mut relay, mut member) = relay_with_unconfirmed_removal();
     relay.directory.mark_complete(at(2));
-    assert!(!ask(&mut member, &relay));
+    assert!(!fetch_changes(&mut member, &relay));
     relay.pass(3_000);
-    assert!(ask(&mut member, &relay));
+    assert!(fetch_changes(&mut member, &relay));
     assert!(!member.is_usable());
 }
 
-/// Grown Lombardy, `hunt-bb55-3`: a relay that came back to the store found by its list that an entry
-/// was gone, and took that for a lapse at the revision of the list. It told others that they knew
-/// all changes before that, so they did not ask another relay for the removal, which had come
-/// earlier, and sent to the endpoint 3.4 s after it had left.
+/// Regression test: a relay that reached the store again found an entry missing from the list, and
+/// recorded an unconfirmed removal at the revision of the list. It told others that they knew all
+/// changes before that revision, so they did not ask another relay for the removal, which had
+/// happened earlier, and sent requests to the endpoint 3.4 s after it had left (run `hunt-bb55-3`
+/// of the grown deployment Lombardy).
 #[test]
-fn a_lapse_found_by_a_list_hides_no_earlier_removal_that_another_host_tells_of() {
+fn an_unconfirmed_removal_found_by_a_list_hides_no_earlier_confirmed_one() {
     let [mut returned, mut steady, mut member] = [World::new(), World::new(), World::new()];
     for world in [&mut returned, &mut steady, &mut member] {
         world.put(1, 1, State::Ready);
@@ -335,13 +340,13 @@
     let listed = vec![(new, at(4), Some(ready))];
     returned.directory.record_store_call(false, returned.now);
     returned.directory.replace(listed, at(5), returned.now);
-    assert!(ask(&mut member, &returned));
+    assert!(fetch_changes(&mut member, &returned));
     assert_eq!(member.directory.usable().count(), 2);
-    assert!(ask(&mut member, &steady));
+    assert!(fetch_changes(&mut member, &steady));
     assert_eq!(member.directory.usable().count(), 1);
 }
 
-/// What reaches a directory.
+/// A change of an entry.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Write { heartbeat: u64, leaving: bool },
@@ -364,7 +369,7 @@
         ..Config::default()
     })]
 
-    /// Whatever order the same revisions arrive in, and however often, the newest one decides.
+    /// The newest revision decides, in whatever order and however often the revisions arrive.
     #[test]
     fn the_newest_revision_decides(
         steps in collection::vec(step(), 1..8),
@@ -373,7 +378,7 @@
         let now = time::Time::from_secs(1);
         let key: Arc<str> = "ep".into();
         let apply = |directory: &mut Directory, i: usize| {
-            // Heartbeats grow with the revisions here: a held-up write has its own test.
+            // Heartbeats grow with the revisions here: a delayed write has its own test.
             let endpoint = match steps[i] {
                 Step::Write { heartbeat, leaving } => {
                     let state = if leaving { State::Leaving } else { State::Ready };
