--- a/crates/core/src/health/control_chart.rs
+++ b/crates/core/src/health/control_chart.rs
@@ -1,38 +1,39 @@
-//! Group control chart of residuals, which finds the endpoint that is slow beside the others.
+//! Group control chart of residuals, which detects endpoints that are slow relative to the others.
 //!
-//! The latencies of the endpoints of a pool have a part in common, which surges move, and a part
-//! of their own. In each interval the mean over all endpoints estimates the common part, and what
-//! is left of each endpoint's mean is its residual. An endpoint signals when its residual is
-//! above `k` standard deviations of the residuals, with `k` corrected for the number of endpoints
-//! so that the whole chart has a set rate of false alarms. Latencies enter as logarithms, so that
-//! a surge that multiplies all of them is a common shift.
+//! The latency of an endpoint has a component that is common to its pool, which load surges move,
+//! and a component of its own. In each interval, the mean over all endpoints estimates the common
+//! component, and the difference of an endpoint's mean from it is the endpoint's residual. An
+//! endpoint signals when its residual is above `k` standard deviations of the residuals. `k` is
+//! corrected for the number of endpoints, so that the whole chart has a fixed rate of false
+//! alarms. The chart uses the logarithms of latencies, so that a surge that multiplies all of them
+//! is a common shift.
 //!
 //! Source: E. K. Epprecht, L. F. M. Barbosa, B. F. T. Simões, "SPC of multiple stream processes: a
 //! chart for enhanced detection of shifts in one stream", Production 21(2), 2011, pp. 242-253,
 //! equations 4 to 11. Differences: only slow endpoints signal, the standard deviation is a running
-//! estimate that leaves signals out, and the residuals are smoothed exponentially, which the
-//! paper names as its continuation.
+//! estimate that excludes signals, and the residuals are smoothed exponentially, which the paper
+//! names as future work.
 
 use smallvec::SmallVec;
 
 use crate::{entity, map};
 
-/// Share of the newest interval in a smoothed residual.
+/// Weight of the latest interval in a smoothed residual.
 const SMOOTHING: f64 = 0.3;
 
-/// Probability of a false alarm of the whole chart in one interval.
+/// Probability of a false alarm anywhere in the chart in one interval.
 const FALSE_ALARM_PROBABILITY: f64 = 0.0001;
 
-/// Share of each interval in the running variance of the residuals.
+/// Weight of the latest interval in the running variance of the residuals.
 const VARIANCE_GAIN: f64 = 0.1;
 
-/// Intervals before the variance is known well enough to signal.
+/// Intervals after which the estimate of the variance is good enough to signal.
 const WARM_UP_INTERVALS: u32 = 6;
 
 /// Smallest smoothed residual that signals: the logarithm of a latency 30 % above the others.
 const MIN_SIGNAL_RESIDUAL: f64 = 0.262;
 
-/// Fewest endpoints of a group. With two, both residuals are the same but for the sign.
+/// Smallest number of endpoints in a group. With two, the residuals differ only in their sign.
 const MIN_GROUP: usize = 3;
 
 /// Latencies of one endpoint in the current interval.
@@ -42,11 +43,11 @@
     count: u32,
     /// Smoothed residual.
     residual: f64,
-    /// Smoothed residual in standard deviations of the residual of one interval.
+    /// Smoothed residual, in standard deviations of the residual of one interval.
     deviations: f64,
 }
 
-/// Chart of the endpoints of one pool.
+/// Control chart of the endpoints of one pool.
 #[derive(Clone, Debug, Default)]
 pub struct ControlChart {
     streams: map::EntityMap<entity::EndpointId, Stream>,
@@ -56,13 +57,13 @@
 }
 
 impl ControlChart {
-    /// Makes a chart without latencies.
+    /// Creates a chart without latencies.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in a latency in seconds. Latencies that are not above zero are ignored.
+    /// Adds a latency in seconds. Latencies that are not positive and finite are ignored.
     pub fn add(&mut self, endpoint: entity::EndpointId, latency_s: f64) {
         if !(latency_s.is_finite() && latency_s > 0.0) {
             return;
@@ -72,7 +73,7 @@
         stream.count += 1;
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint.
     pub fn remove(&mut self, endpoint: entity::EndpointId) {
         self.streams.remove(endpoint);
     }
@@ -146,7 +147,7 @@
     }
 }
 
-/// Coefficient of the limit for a group of `streams`, by the correction of Dunn and Sidak.
+/// Coefficient of the control limit for a group of `streams`, with the Dunn-Šidák correction.
 fn limit_coefficient(streams: usize) -> f64 {
     let one = (1.0 - FALSE_ALARM_PROBABILITY).powf(1.0 / streams as f64);
     upper_quantile((1.0 - one) / 2.0)
--- a/crates/core/src/health/machine.rs
+++ b/crates/core/src/health/machine.rs
@@ -1,4 +1,4 @@
-//! Which endpoints are out, and until when.
+//! State machine that decides which endpoints are ejected, and until when.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::health::{Settings, control_chart};
 use crate::{entity, map, time};
 
-/// What the work at an endpoint shows of its health.
+/// What a request to an endpoint shows about its health.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
     /// A connection could not be made.
@@ -16,16 +16,16 @@
     Stalled,
     /// Another endpoint answers at its address.
     Replaced,
-    /// An answer was whole.
+    /// An answer was complete.
     Completed,
-    /// An answer was whole, with this time for each token or call.
+    /// An answer was complete, and its latency is known.
     CompletedWithLatency {
-        /// Time for each token of the answer, or of the call.
+        /// Time per token of the answer, or of the whole call.
         latency: Duration,
     },
 }
 
-/// An endpoint that is taken out or returns.
+/// An endpoint that was ejected or readmitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The endpoint.
@@ -34,15 +34,15 @@
     pub usable: bool,
 }
 
-/// Changes of one call, mostly none.
+/// Changes caused by one event, usually none.
 pub type Changes = SmallVec<[Change; 2]>;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct State {
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
     ejection: Option<Ejection>,
-    /// Holds in a row, without an answer for as long as the last one after it.
+    /// Ejections since the endpoint was last healthy for [`Settings::max_ejection`].
     ejections: u32,
     readmitted_at: Option<time::Time>,
 }
@@ -63,7 +63,7 @@
 }
 
 impl Health {
-    /// Makes the health of a host that owns nothing yet.
+    /// Creates the state of a host that owns no endpoints yet.
     #[must_use]
     pub fn new(settings: Settings, now: time::Time) -> Self {
         Self {
@@ -74,13 +74,13 @@
         }
     }
 
-    /// Forgets an endpoint that the host no longer owns. It counts as usable.
+    /// Removes an endpoint that the host no longer owns. It counts as usable from then on.
     pub fn remove(&mut self, endpoint: entity::EndpointId) {
         self.states.remove(endpoint);
         self.chart.remove(endpoint);
     }
 
-    /// Takes in a sign from an endpoint.
+    /// Handles an observation of an endpoint. Returns the change if the endpoint is ejected.
     pub fn observe(
         &mut self,
         now: time::Time,
@@ -107,14 +107,15 @@
                     .flatten()
             }
             Observation::Replaced => {
-                // Proof, not a symptom: it stays out as long as any endpoint does.
+                // The endpoint is certainly gone from its address, so the ejection lasts for the
+                // maximum time.
                 state.ejections = MAX_DOUBLINGS;
                 self.eject(now, endpoint, false)
             }
         }
     }
 
-    /// Does the timed work: ends holds, and closes the chart's interval.
+    /// Does the periodic work: readmits endpoints, and closes the chart's interval.
     pub fn tick(&mut self, now: time::Time) -> Changes {
         let mut changes = self.readmit_expired(now);
         if now >= self.interval_ends {
@@ -153,9 +154,9 @@
         if state.ejection.is_some() {
             return None;
         }
-        let length =
+        let duration =
             settings.base_ejection * 2_u32.saturating_pow(state.ejections.min(MAX_DOUBLINGS));
-        let until = now + length.min(settings.max_ejection);
+        let until = now + duration.min(settings.max_ejection);
         state.ejection = Some(Ejection { until, slow });
         state.ejections += 1;
         state.failures = 0;
@@ -177,10 +178,10 @@
                     usable: true,
                 });
             }
-            let steady = state
+            let recovered = state
                 .readmitted_at
                 .is_some_and(|at| now.since(at) >= longest);
-            if state.ejection.is_none() && steady {
+            if state.ejection.is_none() && recovered {
                 state.ejections = 0;
                 state.readmitted_at = None;
             }
@@ -189,5 +190,5 @@
     }
 }
 
-/// Most doublings of a hold, so that the factor stays in range.
+/// Maximum number of doublings of the ejection time, so that the factor stays in range.
 const MAX_DOUBLINGS: u32 = 16;
--- a/crates/core/src/health/mod.rs
+++ b/crates/core/src/health/mod.rs
@@ -1,16 +1,18 @@
-//! Health of endpoints, as their owner sees it.
+//! Outlier detection: ejects unhealthy endpoints from the candidates, as their owner sees them.
 //!
-//! Four signs take an endpoint out of the candidates for a while:
+//! Four observations eject an endpoint for a while:
 //!
-//! - another endpoint that answers at its address, at once;
-//! - connections that fail: [`Settings::consecutive_failures`] in a row;
-//! - answers that stall: as many in a row;
-//! - slowness beside the others of its pool, by the [chart](control_chart::ControlChart) of residuals. A surge
-//!   that slows all endpoints alike moves the mean of the group and takes none of them out.
+//! - another endpoint answers at its address: at once;
+//! - connections fail: after [`Settings::consecutive_failures`] in a row;
+//! - answers stall: after as many in a row;
+//! - the endpoint is slow relative to the others of its pool, by the control chart of residuals in
+//!   [`control_chart::ControlChart`]. A surge that slows all endpoints alike moves the mean of the
+//!   group and ejects none of them.
 //!
-//! Signs count from all work of the owner, so nothing is probed. An endpoint that was taken out
-//! returns after a hold that doubles each time up to [`Settings::max_ejection`], and the first
-//! sign takes it out again. At most a share of a pool is out for slowness at once.
+//! Detection is passive: the observations come from the owner's own requests, and no probes are
+//! sent. An ejected endpoint is readmitted after an ejection time that doubles with each ejection
+//! up to [`Settings::max_ejection`], and the first failure after that ejects it again. At most
+//! [`Settings::max_slow_share`] of the endpoints is ejected for slowness at once.
 
 pub mod control_chart;
 mod machine;
@@ -19,22 +21,22 @@
 
 use std::time::Duration;
 
-/// Settings of the health checks.
+/// Settings of the outlier detection.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Failed connections or stalls in a row that take an endpoint out.
+    /// Consecutive failed connections or stalls that eject an endpoint.
     #[serde(rename = "failures")]
     pub consecutive_failures: u32,
-    /// Time for which an endpoint is out at first.
+    /// Duration of the first ejection of an endpoint.
     #[serde(rename = "hold")]
     pub base_ejection: Duration,
-    /// Longest time for which an endpoint is out.
+    /// Maximum duration of an ejection.
     #[serde(rename = "longest_hold")]
     pub max_ejection: Duration,
-    /// Interval over which the latencies of the chart are averaged.
+    /// Interval over which the control chart averages latencies.
     pub interval: Duration,
-    /// Largest share of the endpoints that may be out for slowness.
+    /// Largest share of the endpoints that may be ejected for slowness at once.
     #[serde(rename = "slow_share")]
     pub max_slow_share: f64,
 }
--- a/crates/core/src/liveness/link.rs
+++ b/crates/core/src/liveness/link.rs
@@ -8,12 +8,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkConfig {
-    /// Silence on a link in use after which a ping is sent, in milliseconds.
+    /// Time without data on a link in use after which a ping is sent, in milliseconds.
     pub ping_after_ms: u64,
-    /// Silence after a ping after which the link is given up, in milliseconds.
+    /// Time without data after a ping after which the link is closed, in milliseconds.
     pub ping_deadline_ms: u64,
-    /// Silence after which a link has to answer a ping before it carries a request that runs at
-    /// most once, in milliseconds.
+    /// Time without data after which a link must answer a ping before it carries a request with
+    /// at-most-once semantics, in milliseconds.
     pub trusted_ms: u64,
 }
 
@@ -27,10 +27,10 @@
     }
 }
 
-/// What a link needs.
+/// Action that a link needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Check {
-    /// Nothing before the given time, or nothing at all while the link is idle.
+    /// Nothing before the given time, or nothing at all (`None`) while the link is idle.
     Wait(Option<time::Time>),
     /// Send a ping now, and check again at the given time.
     Ping(time::Time),
@@ -38,22 +38,22 @@
     Silent,
 }
 
-/// Liveness of one link.
+/// Liveness state of one link.
 #[derive(Clone, Debug)]
 pub struct Link {
     cfg: LinkConfig,
     /// Last time at which anything arrived.
     last_received: time::Time,
-    /// Start of the present use: when the first open stream was opened.
+    /// When the link came into use, that is, when the number of open streams rose from zero.
     in_use_since: Option<time::Time>,
-    /// When the unanswered ping was sent. Invariant: nothing arrived since.
+    /// When the pending ping was sent. Invariant: nothing has arrived since.
     pinged_at: Option<time::Time>,
-    /// Open streams.
+    /// Number of open streams.
     open_streams: u32,
 }
 
 impl Link {
-    /// Makes a link that was connected at the given time.
+    /// Creates the state of a link that was connected at the given time.
     #[must_use]
     pub const fn new(cfg: LinkConfig, now: time::Time) -> Self {
         Self {
@@ -86,13 +86,14 @@
         }
     }
 
-    /// Whether the link was heard lately enough to carry a request that runs at most once.
+    /// Whether data arrived recently enough for the link to carry a request with at-most-once
+    /// semantics.
     #[must_use]
     pub fn is_trusted(&self, now: time::Time) -> bool {
         now.since(self.last_received) <= Duration::from_millis(self.cfg.trusted_ms)
     }
 
-    /// Says what the link needs now.
+    /// Returns the action that the link needs now. After [`Check::Ping`] the ping counts as sent.
     pub fn check(&mut self, now: time::Time) -> Check {
         let Some(in_use_since) = self.in_use_since else {
             return Check::Wait(None);
--- a/crates/core/src/liveness/mod.rs
+++ b/crates/core/src/liveness/mod.rs
@@ -1,9 +1,9 @@
-//! Finds connections that have gone silent and answers that have stalled.
+//! Detects silent connections and stalled answers.
 //!
-//! A connection can be forgotten by something between its ends, without an error on either side.
-//! [`Link`] asks for a ping when a link that is in use has been silent, and gives the link up if
-//! nothing at all arrives before a deadline. [`StallDeadline`] bounds the time until the first byte of an
-//! answer and between two of its pieces.
+//! A middlebox can drop the state of a connection without an error at either end.
+//! [`Link`] requests a ping when nothing has arrived on a link that is in use for some time, and
+//! closes the link if nothing arrives before a deadline either. [`StallDeadline`] bounds the time
+//! until the first chunk of an answer and between two of its chunks.
 
 mod link;
 mod stall_deadline;
--- a/crates/core/src/liveness/stall_deadline.rs
+++ b/crates/core/src/liveness/stall_deadline.rs
@@ -1,16 +1,16 @@
-//! Deadlines of an answer that is under way.
+//! Deadlines of an answer that is in progress.
 
 use std::time::Duration;
 
 use crate::time;
 
-/// Deadlines of an answer.
+/// Time limits of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StallConfig {
-    /// Longest time from the dispatch to the first piece, in milliseconds.
+    /// Maximum time from the dispatch to the first chunk, in milliseconds.
     pub first_ms: u64,
-    /// Longest time between two pieces, in milliseconds.
+    /// Maximum time between two chunks, in milliseconds.
     pub between_ms: u64,
 }
 
@@ -38,7 +38,7 @@
         Self { cfg, deadline }
     }
 
-    /// Records that a piece arrived.
+    /// Records that a chunk arrived.
     pub fn record_progress(&mut self, now: time::Time) {
         self.deadline = now + Duration::from_millis(self.cfg.between_ms);
     }
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -1,4 +1,4 @@
-//! Endpoints that are taken out and return.
+//! Ejection and readmission of endpoints.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
     entity::EndpointId::from_index(index)
 }
 
-fn fresh() -> health::Health {
+fn new_health() -> health::Health {
     health::Health::new(health::Settings::default(), time::Time::ZERO)
 }
 
-/// Runs ten endpoints for three minutes and returns those that were taken out. `factor` gives the
-/// slowness of an endpoint at a second.
+/// Runs ten endpoints for three minutes and returns those that were ejected. `factor` is the factor
+/// by which the latency of an endpoint is multiplied at a second.
 fn ejected<F>(seed: u64, factor: F) -> Vec<usize>
 where
     F: Fn(usize, u64) -> f64,
 {
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
-    let mut health = fresh();
+    let mut health = new_health();
     let mut out = Vec::new();
     for second in 0..180 {
         let now = time::Time::from_secs(second);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_surge_of_all_endpoints_takes_none_out() {
+fn a_surge_at_all_endpoints_ejects_none() {
     for seed in 0..10 {
         let surge = |_, second| {
             if (60..120).contains(&second) {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn one_slow_endpoint_is_taken_out_also_during_a_surge() {
+fn one_slow_endpoint_is_ejected_also_during_a_surge() {
     for seed in 0..10 {
         let factor = |index, second| {
             let surge = if (60..150).contains(&second) {
@@ -71,34 +71,34 @@
             let slow = if index == 4 && second >= 90 { 2.5 } else { 1.0 };
             surge * slow
         };
-        let out = ejected(seed, factor);
+        let endpoints = ejected(seed, factor);
         assert!(
-            !out.is_empty() && out.iter().all(|index| *index == 4),
-            "{out:?}"
+            !endpoints.is_empty() && endpoints.iter().all(|index| *index == 4),
+            "{endpoints:?}"
         );
     }
 }
 
 #[test]
-fn failures_in_a_row_take_an_endpoint_out_for_a_hold_that_doubles() {
+fn consecutive_failures_eject_an_endpoint_for_a_time_that_doubles() {
     let settings = health::Settings::default();
-    let mut health = fresh();
+    let mut health = new_health();
     let mut now = time::Time::from_secs(1);
     let failed = health::Observation::ConnectFailed;
     assert_eq!(health.observe(now, endpoint(0), failed), None);
-    let change = health.observe(now, endpoint(0), failed).expect("taken out");
+    let change = health.observe(now, endpoint(0), failed).expect("ejected");
     assert!(!change.usable && !health.is_usable(endpoint(0)));
-    for hold in [
+    for duration in [
         settings.base_ejection,
         settings.base_ejection * 2,
         settings.base_ejection * 4,
     ] {
         assert!(
             health
-                .tick(now + hold - Duration::from_millis(1))
+                .tick(now + duration - Duration::from_millis(1))
                 .is_empty()
         );
-        now += hold;
+        now += duration;
         assert!(health.tick(now).iter().all(|change| change.usable));
         assert!(health.is_usable(endpoint(0)));
         let again = health.observe(now, endpoint(0), health::Observation::Stalled);
@@ -107,15 +107,15 @@
 }
 
 #[test]
-fn an_answer_clears_failures_and_a_steady_time_clears_the_holds() {
+fn an_answer_resets_the_failures_and_a_healthy_period_resets_the_ejections() {
     let settings = health::Settings::default();
-    let mut health = fresh();
+    let mut health = new_health();
     let now = time::Time::from_secs(1);
-    let answered = health::Observation::CompletedWithLatency {
+    let completed = health::Observation::CompletedWithLatency {
         latency: Duration::from_millis(26),
     };
     health.observe(now, endpoint(0), health::Observation::Stalled);
-    health.observe(now, endpoint(0), answered);
+    health.observe(now, endpoint(0), completed);
     assert_eq!(
         health.observe(now, endpoint(0), health::Observation::Stalled),
         None
@@ -125,21 +125,22 @@
             .observe(now, endpoint(0), health::Observation::Stalled)
             .is_some()
     );
-    let back = now + settings.base_ejection;
-    assert_eq!(health.tick(back).len(), 1);
-    let steady = back + settings.max_ejection;
-    health.tick(steady);
+    let readmitted = now + settings.base_ejection;
+    assert_eq!(health.tick(readmitted).len(), 1);
+    let recovered = readmitted + settings.max_ejection;
+    health.tick(recovered);
     assert_eq!(
-        health.observe(steady, endpoint(0), health::Observation::Stalled),
+        health.observe(recovered, endpoint(0), health::Observation::Stalled),
         None
     );
 }
 
-/// `reuse-and-resets` of grown Bocage: a quarter of a pool falls silent and its addresses go to other
-/// endpoints. The host learns it from the first request, long before their entries go.
+/// Scenario `reuse-and-resets` of the grown deployment Bocage: a quarter of a pool stops answering
+/// and its addresses are reassigned to other endpoints. The host detects this at the first request,
+/// long before the entries of the old endpoints expire.
 #[test]
-fn an_endpoint_whose_address_went_to_another_is_out_at_once_and_for_long() {
-    let mut health = fresh();
+fn an_endpoint_whose_address_was_reassigned_is_ejected_at_once_for_the_maximum_time() {
+    let mut health = new_health();
     let longest = health::Settings::default().max_ejection;
     let now = time::Time::from_secs(100);
     let change = health.observe(now, endpoint(0), health::Observation::Replaced);
--- a/crates/core/tests/liveness.rs
+++ b/crates/core/tests/liveness.rs
@@ -1,4 +1,4 @@
-//! Silent links and stalled answers are found within their deadlines.
+//! Silent links and stalled answers are detected within their deadlines.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_silent_link_in_use_is_given_up_within_two_deadlines() {
+fn a_silent_link_in_use_is_closed_within_two_deadlines() {
     let mut link = liveness::Link::new(liveness::LinkConfig::default(), secs(0));
     link.stream_opened(secs(10));
     assert_eq!(link.check(secs(10)), liveness::Check::Wait(Some(secs(11))));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn anything_heard_keeps_the_link() {
+fn any_received_data_keeps_the_link_open() {
     let mut link = liveness::Link::new(liveness::LinkConfig::default(), secs(0));
     link.stream_opened(secs(0));
     assert_eq!(link.check(secs(1)), liveness::Check::Ping(secs(2)));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_answer_stalls_between_pieces() {
+fn an_answer_stalls_between_chunks() {
     let cfg = liveness::StallConfig::default();
     let mut stall = liveness::StallDeadline::new(cfg, secs(0));
     assert!(!stall.is_stalled(secs(29)));
