--- a/crates/core/src/journal/mod.rs
+++ b/crates/core/src/journal/mod.rs
@@ -35,6 +35,6 @@
     MAX_RECORDED_BODY_BYTES, MAX_RECORDED_CONTENT_TYPE_BYTES, Record, RecordedAnswer, State,
 };
 pub use shard::{
-    DecodeShardError, MAX_SHARD_BYTES, ModRevision, RECORD_OVERHEAD_BYTES, Shard, ShardId,
+    MAX_SHARD_BYTES, ModRevision, RECORD_OVERHEAD_BYTES, Shard, ShardCodecError, ShardId,
     StoredShard,
 };
--- a/crates/core/src/journal/shard.rs
+++ b/crates/core/src/journal/shard.rs
@@ -88,15 +88,15 @@
 
 /// Error for a value that is not a shard, or for a shard that is too large to be encoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DecodeShardError(pub String);
+pub struct ShardCodecError(pub String);
 
-impl fmt::Display for DecodeShardError {
+impl fmt::Display for ShardCodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the value is not a shard of the journal: {}", self.0)
     }
 }
 
-impl std::error::Error for DecodeShardError {}
+impl std::error::Error for ShardCodecError {}
 
 /// Records of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
@@ -163,10 +163,10 @@
     /// # Errors
     ///
     /// Returns an error if the records are larger than [`MAX_SHARD_BYTES`].
-    pub fn encode(&self) -> Result<Bytes, DecodeShardError> {
+    pub fn encode(&self) -> Result<Bytes, ShardCodecError> {
         bincode::serde::encode_to_vec(self, encoding())
             .map(Bytes::from)
-            .map_err(|e| DecodeShardError(e.to_string()))
+            .map_err(|e| ShardCodecError(e.to_string()))
     }
 
     /// Decodes the records from a value of the key-value service.
@@ -174,11 +174,11 @@
     /// # Errors
     ///
     /// Returns an error if the value is not exactly the encoding of one shard.
-    pub fn decode(value: &[u8]) -> Result<Self, DecodeShardError> {
+    pub fn decode(value: &[u8]) -> Result<Self, ShardCodecError> {
         let (shard, used) = bincode::serde::decode_from_slice(value, encoding())
-            .map_err(|e| DecodeShardError(e.to_string()))?;
+            .map_err(|e| ShardCodecError(e.to_string()))?;
         if used != value.len() {
-            return Err(DecodeShardError(format!(
+            return Err(ShardCodecError(format!(
                 "{} bytes follow",
                 value.len() - used
             )));
--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -10,7 +10,8 @@
 #[serde(default, deny_unknown_fields)]
 pub struct BudgetConfig {
     /// Retries that each new request adds to the budget, in thousandths.
-    pub per_request_millis: u64,
+    #[serde(rename = "per_request_millis")]
+    pub per_request_thousandths: u64,
     /// Capacity of the budget in retries. [`Budget::new`] starts full.
     pub reserve: u64,
 }
@@ -18,7 +19,7 @@
 impl Default for BudgetConfig {
     fn default() -> Self {
         Self {
-            per_request_millis: 80,
+            per_request_thousandths: 80,
             reserve: 10,
         }
     }
@@ -41,7 +42,7 @@
     #[must_use]
     pub fn share(&self, hosts: u32) -> BudgetConfig {
         BudgetConfig {
-            per_request_millis: (self.ratio * THOUSANDTHS_PER_RETRY as f64) as u64,
+            per_request_thousandths: (self.ratio * THOUSANDTHS_PER_RETRY as f64) as u64,
             reserve: (self.extra / f64::from(hosts.max(1))) as u64,
         }
     }
@@ -111,7 +112,9 @@
 
     /// Adds the refill of one new request.
     pub fn deposit(&mut self) {
-        let balance = self.balance.saturating_add(self.cfg.per_request_millis);
+        let balance = self
+            .balance
+            .saturating_add(self.cfg.per_request_thousandths);
         self.balance = balance.min(Self::capacity(self.cfg));
     }
 
--- a/crates/core/tests/answer.rs
+++ b/crates/core/tests/answer.rs
@@ -195,7 +195,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn answers_are_whole_and_of_one_run(
+    fn answers_are_complete_and_from_one_run(
         stream in any::<bool>(),
         faults in collection::vec(any_fault(), 0..60),
     ) {
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn evidence_of_a_lost_attempt_is_as_strong_as_what_was_seen() {
+fn outcome_of_a_lost_attempt_follows_its_progress() {
     let mut assembler = assembler_in_attempt(false);
     let unsent = assembler.fail_attempt(reason::Refusal::ConnectFailed);
     assert_eq!(unsent.outcome, outcome::Outcome::NotRun);
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_lost_call_that_may_not_be_repeated_is_given_up_as_unknown() {
+fn a_lost_at_most_once_call_is_given_up_as_unknown() {
     let mut attempts = Attempts::new(Kind::AtMostOnce, 3);
     let next = attempts.record_failure(AttemptFailure::ConnectionLost, || true);
     let expected = Next::GiveUp {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_connection_that_was_never_made_costs_no_arrival_and_no_budget() {
+fn an_attempt_without_a_connection_is_not_charged() {
     let mut attempts = Attempts::new(Kind::AtMostOnce, 1);
     let next = attempts.record_failure(AttemptFailure::NotSent, || panic!("no budget is needed"));
     assert_eq!(next, Next::Retry(reason::Retry::ConnectFailed));
--- a/crates/core/tests/journal.rs
+++ b/crates/core/tests/journal.rs
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn another_body_is_refused() {
+fn a_key_reused_with_another_body_is_refused() {
     let mut host = JournalWithStore::new(one_slot());
     host.handle(Event::Begin(begin(1, 7)), NOW);
     let other = journal::NewAttempt {
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn without_the_service_an_action_is_refused_as_not_run() {
+fn an_unreachable_store_refuses_actions_as_not_run() {
     let mut journal = journal::Journal::new(one_slot());
     let effects = journal.handle(Event::Begin(begin(1, 7)), NOW, CLOCK);
     let [Effect::Read { call, .. }] = effects[..] else {
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn attempts_that_come_within_the_interval_share_a_swap() {
+fn attempts_within_the_swap_interval_share_a_swap() {
     let cfg = journal::Config {
         slots: 1,
         ..journal::Config::default()
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -30,7 +30,7 @@
     (0..reason::Refusal::ALL.len()).prop_map(|i| reason::Refusal::ALL[i])
 }
 
-fn any_repeat() -> impl Strategy<Value = request::Idempotency> {
+fn any_idempotency() -> impl Strategy<Value = request::Idempotency> {
     prop_oneof![
         Just(request::Idempotency::Idempotent),
         Just(request::Idempotency::AtMostOnce)
@@ -112,7 +112,7 @@
 
     #[test]
     fn not_run_is_true_and_at_most_one_run(
-        repeat in any_repeat(),
+        repeat in any_idempotency(),
         attempts in collection::vec((any_attempt(), any_refusal()), 1..12),
     ) {
         let mut budget = full_budget();
@@ -217,7 +217,7 @@
 #[test]
 fn a_resumption_is_free_and_at_once() {
     let mut budget = retry::Budget::new(retry::BudgetConfig {
-        per_request_millis: 0,
+        per_request_thousandths: 0,
         reserve: 0,
     });
     let mut req = request(request::Idempotency::AtMostOnce, &mut budget);
--- a/crates/core/tests/sse.rs
+++ b/crates/core/tests/sse.rs
@@ -13,28 +13,28 @@
 }
 
 #[test]
-fn a_cut_event_is_held_back_and_started_again() {
+fn an_incomplete_event_is_buffered_and_discarded_on_resumption() {
     let mut splitter = Splitter::default();
     let whole = events(0..3);
     let cut = &whole.as_bytes()[..whole.len() - 4];
-    let passed = splitter.push(cut).expect("no fault");
+    let passed = splitter.push(cut).expect("no error");
     assert_eq!(passed, events(0..2));
     assert!(!splitter.at_event_boundary());
     splitter.discard_partial();
     assert_eq!(splitter.last_id(), Some(1));
-    let passed = splitter.push(events(2..5).as_bytes()).expect("no fault");
+    let passed = splitter.push(events(2..5).as_bytes()).expect("no error");
     assert_eq!(passed, events(2..5));
 }
 
 #[test]
-fn events_that_the_caller_has_are_left_out() {
+fn events_that_the_caller_already_has_are_dropped() {
     let mut splitter = Splitter::resume_after(Some(4));
-    let passed = splitter.push(events(3..7).as_bytes()).expect("no fault");
+    let passed = splitter.push(events(3..7).as_bytes()).expect("no error");
     assert_eq!(passed, events(5..7));
 }
 
 #[test]
-fn a_gap_between_two_parts_is_a_fault() {
+fn a_gap_between_two_parts_is_an_error() {
     let mut splitter = Splitter::resume_after(Some(4));
     let gap = StreamError::Gap { after: 4, found: 6 };
     assert_eq!(splitter.push(events(6..7).as_bytes()), Err(gap));
@@ -44,7 +44,7 @@
 fn lines_may_end_with_carriage_returns() {
     let mut splitter = Splitter::default();
     let text = "id: 0\r\ndata: x\r\n\r\nid: 1\r\n";
-    let passed = splitter.push(text.as_bytes()).expect("no fault");
+    let passed = splitter.push(text.as_bytes()).expect("no error");
     assert_eq!(passed, "id: 0\r\ndata: x\r\n\r\n");
 }
 
@@ -63,7 +63,7 @@
         let mut splitter = Splitter::default();
         let mut passed = Vec::new();
         for read in whole.as_bytes().chunks(size) {
-            passed.extend_from_slice(&splitter.push(read).expect("no fault"));
+            passed.extend_from_slice(&splitter.push(read).expect("no error"));
         }
         prop_assert_eq!(passed, whole.into_bytes());
     }
--- a/crates/measure/src/actions/report.rs
+++ b/crates/measure/src/actions/report.rs
@@ -49,7 +49,7 @@
     let states = explored?;
     let answers = answers::run(ANSWERS, ANSWERS_SEED);
     let unlimited = retry::BudgetConfig {
-        per_request_millis: 10_000,
+        per_request_thousandths: 10_000,
         reserve: 1_000_000,
     };
     let attempts = outage::attempts_per_request(retry::BudgetConfig::default());
--- a/crates/runtime/src/control/state.rs
+++ b/crates/runtime/src/control/state.rs
@@ -85,7 +85,7 @@
         };
         let directory = routing::candidates::Directory::new(&topology::HostList::default(), spread);
         let budget = retry::Budget::new(retry::BudgetConfig {
-            per_request_millis: (settings.retry.budget_ratio * 1000.0) as u64,
+            per_request_thousandths: (settings.retry.budget_ratio * 1000.0) as u64,
             ..retry::BudgetConfig::default()
         });
         let membership = membership::Membership::new(
--- a/crates/runtime/tests/settings.rs
+++ b/crates/runtime/tests/settings.rs
@@ -62,7 +62,7 @@
     let core = retry::Config::default();
     assert_eq!(retry.max_attempts, core.max_attempts);
     assert_eq!(retry.max_hops, core.max_hops);
-    let per_request = retry::BudgetConfig::default().per_request_millis;
+    let per_request = retry::BudgetConfig::default().per_request_thousandths;
     assert_eq!((retry.budget_ratio * 1_000.0) as u64, per_request);
 
     let journal = settings::Journal::default();
