--- a/crates/core/src/answer/assembler.rs
+++ b/crates/core/src/answer/assembler.rs
@@ -35,7 +35,7 @@
 pub enum Step {
     /// Wait for the next frame.
     Wait,
-    /// Give these bytes to the caller.
+    /// Send these bytes to the caller.
     Deliver(Delivery),
     /// Count the frame as discarded.
     Discarded(Discard),
--- a/crates/core/src/journal/key.rs
+++ b/crates/core/src/journal/key.rs
@@ -102,7 +102,7 @@
 }
 
 impl AttemptId {
-    /// Makes the id from a random UUID.
+    /// Creates the id from a random UUID.
     #[must_use]
     pub const fn new(uuid: uuid::Uuid) -> Self {
         Self(uuid.into_bytes())
--- a/crates/core/src/journal/shard.rs
+++ b/crates/core/src/journal/shard.rs
@@ -92,7 +92,7 @@
 
 impl fmt::Display for ShardCodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the value is not a shard of the journal: {}", self.0)
+        write!(f, "cannot encode or decode journal shard: {}", self.0)
     }
 }
 
@@ -179,7 +179,7 @@
             .map_err(|e| ShardCodecError(e.to_string()))?;
         if used != value.len() {
             return Err(ShardCodecError(format!(
-                "{} bytes follow",
+                "{} trailing bytes",
                 value.len() - used
             )));
         }
--- a/crates/core/src/retry/attempts.rs
+++ b/crates/core/src/retry/attempts.rs
@@ -154,7 +154,7 @@
     /// Records a failed attempt and decides whether the request is retried.
     ///
     /// `withdraw` takes one retry from the retry budget and returns whether the budget held one. It
-    /// is called only if every other condition allows a retry.
+    /// is called only if bytes of the request were sent and every other condition allows a retry.
     pub fn record_failure<F>(&mut self, failure: AttemptFailure, withdraw: F) -> Next
     where
         F: FnOnce() -> bool,
--- a/crates/core/src/retry/backoff.rs
+++ b/crates/core/src/retry/backoff.rs
@@ -1,4 +1,4 @@
-//! Exponential backoff with jitter, for retries and for the delays that callers are given.
+//! Exponential backoff of retries, and the jitter of the delays of retries and refused callers.
 
 use std::time::Duration;
 
