--- a/crates/core/src/catalog/current.rs
+++ b/crates/core/src/catalog/current.rs
@@ -1,26 +1,26 @@
-//! The catalog in force on a host.
+//! The current catalog of a host.
 
 use std::sync::Arc;
 
 use crate::catalog;
 
-/// What became of an offered catalog.
+/// Result of [`CurrentCatalog::update`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateResult {
-    /// It is in force now.
+    /// The new catalog is the current one now.
     Applied,
-    /// The one in force is as new or newer.
+    /// The current catalog has the same or a larger version and was kept.
     NotNewer,
 }
 
-/// The catalog in force. Its version never goes down.
+/// The current catalog. Its version never decreases.
 #[derive(Clone, Debug, Default)]
 pub struct CurrentCatalog {
     catalog: Option<Arc<catalog::Catalog>>,
 }
 
 impl CurrentCatalog {
-    /// Takes over a catalog if it is newer than the one in force.
+    /// Replaces the current catalog if the new one has a larger version.
     pub fn update(&mut self, content: catalog::Content) -> UpdateResult {
         if self.version() >= Some(content.version) {
             return UpdateResult::NotNewer;
@@ -29,13 +29,13 @@
         UpdateResult::Applied
     }
 
-    /// Version in force, or `None` before the first catalog.
+    /// Version of the current catalog, or `None` before the first one.
     #[must_use]
     pub fn version(&self) -> Option<catalog::Version> {
         self.catalog.as_ref().map(|c| c.version())
     }
 
-    /// Catalog in force.
+    /// The current catalog, or `None` before the first one.
     #[must_use]
     pub const fn get(&self) -> Option<&Arc<catalog::Catalog>> {
         self.catalog.as_ref()
--- a/crates/core/src/catalog/mod.rs
+++ b/crates/core/src/catalog/mod.rs
@@ -1,8 +1,8 @@
-//! What callers may ask for: routes, services and client accounts, as one versioned catalog.
+//! The catalog: routes, services and client accounts, under one version.
 //!
-//! Every source of configuration is decoded into a [`Catalog`]. A host takes over a catalog only
-//! if its version is newer than the one in force ([`CurrentCatalog::update`]), so no stale read, late
-//! event or peer brings an older one back.
+//! Every source of configuration is decoded into a [`Catalog`]. A host replaces its catalog only by
+//! one with a larger version ([`CurrentCatalog::update`]), so that a stale read, a delayed event or
+//! an outdated peer cannot bring an older one back.
 
 mod current;
 mod model;
@@ -19,7 +19,7 @@
 
 use crate::lists;
 
-/// A verified configuration with the indexes that a request needs.
+/// The content of a catalog with the indexes for looking up routes and accounts.
 #[derive(Clone, Debug)]
 pub struct Catalog {
     content: Content,
@@ -28,7 +28,7 @@
 }
 
 impl Catalog {
-    /// Indexes the content of a catalog.
+    /// Builds the indexes of a content.
     #[must_use]
     pub fn new(content: Content) -> Self {
         let routes = RouteTable::new(&content.routes);
@@ -51,26 +51,31 @@
         self.content.version
     }
 
-    /// Content without the indexes, as it is sent to other hosts.
+    /// Content without the indexes, the form that is sent to other hosts.
     #[must_use]
     pub const fn content(&self) -> &Content {
         &self.content
     }
 
-    /// Route of a request, by the longest prefix of its path among the routes of its host name.
+    /// Route of a request: the one with the longest prefix of its path among the routes of its
+    /// host name.
     #[must_use]
     pub fn route(&self, authority: &str, path: &str) -> Option<&Route> {
         let index = self.routes.find(authority, path)?;
         Some(&self.content.routes[index.0 as usize])
     }
 
-    /// Service by its index.
+    /// Returns the service at an index.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the index is not from this catalog.
     #[must_use]
     pub fn service(&self, index: ServiceIndex) -> &Service {
         &self.content.services[index.0 as usize]
     }
 
-    /// Account that holds a key.
+    /// Account that an API key belongs to.
     #[must_use]
     pub fn account_of_key(&self, key: &[u8]) -> Option<&Account> {
         let digest = lists::KeyDigest::of(key);
@@ -78,7 +83,7 @@
         Some(&self.content.accounts[index.0 as usize])
     }
 
-    /// Whether requests need a key at all.
+    /// Whether there are any accounts. Without accounts, requests need no API key.
     #[must_use]
     pub fn has_accounts(&self) -> bool {
         !self.content.accounts.is_empty()
--- a/crates/core/src/catalog/model.rs
+++ b/crates/core/src/catalog/model.rs
@@ -8,7 +8,7 @@
 
 use crate::lists;
 
-/// Version of a catalog. Versions grow, in steps of any size.
+/// Version of a catalog. Later catalogs have larger versions, not necessarily consecutive ones.
 #[derive(
     Clone,
     Copy,
@@ -44,35 +44,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AccountIndex(pub u32);
 
-/// What may be repeated of a request, and what its answer is.
+/// Whether the requests of a route may be retried, and whether the response is a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// An idempotent call with one answer.
+    /// An idempotent call with a single response.
     Idempotent,
-    /// A call with one answer that runs at most once.
+    /// A call with a single response that must run at most once.
     AtMostOnce,
-    /// A stream of events that runs at most once.
+    /// A stream of events that must run at most once.
     Stream,
-    /// A stream of events that another endpoint can go on with after its last event.
+    /// A stream of events that another endpoint can resume after the last received event.
     ResumableStream,
 }
 
 impl Kind {
-    /// Whether a second run does no harm.
+    /// Whether a request may run more than once.
     #[must_use]
     pub const fn is_idempotent(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     #[must_use]
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 }
 
-/// A service that a route sends requests to.
+/// A service that a route sends requests to, with its weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Target {
     /// The service.
@@ -90,24 +90,24 @@
     pub authority: Arc<str>,
     /// Path prefix. Invariant: begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether requests may be retried, and whether the response is a stream.
     pub kind: Kind,
-    /// Longest time that a request may take.
+    /// Timeout of a request, including retries.
     pub timeout: Option<Duration>,
-    /// Time within which an answer (of a stream: its first event) is on time.
+    /// Latency target of the response; for a stream, of its first event.
     pub target_latency: Option<Duration>,
-    /// Rank of the route; 0 is the most urgent.
+    /// Priority of the requests; 0 is the most urgent.
     pub priority: u8,
-    /// Services. Invariant: at least one.
+    /// Services that share the requests by weight. Invariant: at least one.
     pub targets: SmallVec<[Target; 2]>,
-    /// Most endpoints that one request may be sent to. Invariant: at least 1.
+    /// Maximum number of endpoints that one request is sent to. Invariant: at least 1.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub is_public: bool,
 }
 
 impl Route {
-    /// Target of a request, chosen by the weights. The same seed gives the same target.
+    /// Selects the service of a request by weight. The same seed gives the same service.
     #[must_use]
     pub fn target(&self, seed: u64) -> ServiceIndex {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
@@ -123,45 +123,45 @@
     }
 }
 
-/// A pool of equal endpoints.
+/// A pool of interchangeable endpoints.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Service {
-    /// Name, as endpoints state it.
+    /// Name of the service, as in the entries of its endpoints.
     pub name: Arc<str>,
-    /// Most connections that one endpoint takes from all hosts together.
+    /// Maximum number of connections to one endpoint, from all hosts together.
     pub max_connections: u32,
-    /// Tokens that fit the memory of one engine; `None` for a plain service.
+    /// Tokens that fit into the KV cache of one engine, or `None` for a service without engines.
     pub memory_tokens: Option<u64>,
 }
 
-/// A client account and its keys.
+/// A client account and its API keys.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Account {
-    /// Name that endpoints are told.
+    /// Name of the account, which endpoints receive with each request.
     pub name: Arc<str>,
-    /// Digests of the keys. The keys themselves are not kept.
+    /// Digests of the API keys. The keys themselves are not stored.
     pub key_digests: Vec<lists::KeyDigest>,
-    /// Rank that replaces the rank of the route.
+    /// Priority that replaces the priority of the route.
     pub priority: Option<u8>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on connections and requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of the request line and headers, in bytes.
     pub max_head_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of the body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time that the head of a request may take.
+    /// Timeout for receiving the request line and headers.
     pub head_timeout: Duration,
-    /// Longest time that a connection may be idle.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
-/// Everything that one version of the configuration states.
+/// Content of one version of the catalog.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Content {
-    /// Version of the configuration.
+    /// Version of the catalog.
     pub version: Version,
     /// Routes.
     pub routes: Vec<Route>,
@@ -169,6 +169,6 @@
     pub services: Vec<Service>,
     /// Client accounts.
     pub accounts: Vec<Account>,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: CallerLimits,
 }
--- a/crates/core/src/catalog/routes.rs
+++ b/crates/core/src/catalog/routes.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request.
+//! Lookup of the route of a request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,14 +7,15 @@
 
 /// Routes by host name and path prefix.
 ///
-/// A lookup costs one hash per segment of the path, whatever the number of routes.
+/// A lookup does one hash table access per segment of the path, independent of the number of
+/// routes.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     by_authority: HashMap<Arc<str>, HashMap<Arc<str>, catalog::RouteIndex>>,
 }
 
 impl RouteTable {
-    /// Indexes routes. Of two routes with the same host name and prefix the later one wins.
+    /// Indexes routes. Of two routes with the same host name and prefix, the later one is used.
     #[must_use]
     pub fn new(routes: &[catalog::Route]) -> Self {
         let mut table = Self::default();
@@ -28,7 +29,8 @@
         table
     }
 
-    /// Route with the longest prefix of the path. `authority` may have a port and capitals.
+    /// Finds the route with the longest prefix of the path. `authority` may have a port and
+    /// uppercase letters.
     #[must_use]
     pub fn find(&self, authority: &str, path: &str) -> Option<catalog::RouteIndex> {
         let name = host_name(authority);
--- a/crates/core/src/lists/digest.rs
+++ b/crates/core/src/lists/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of API keys. A key itself is never stored or logged.
+//! Digests of API keys. The keys themselves are never stored or logged.
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
@@ -44,13 +44,13 @@
 }
 
 impl fmt::Debug for KeyDigest {
-    /// Leaves out the digest, so that it cannot reach a log.
+    /// Omits the digest, so that it cannot reach a log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("KeyDigest(..)")
     }
 }
 
-/// A text that is not a digest.
+/// Error for a text that is not a digest in hexadecimal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ParseDigestError;
 
--- a/crates/core/src/lists/edit.rs
+++ b/crates/core/src/lists/edit.rs
@@ -1,23 +1,27 @@
 //! State machine of one edit of the lists in the store.
 //!
-//! An edit reads the lists, compares the entries that it changes with the revisions that its
-//! author had seen, verifies the result, and commits one transaction that compares the head.
-//! When the answer to the commit is lost, the machine reads back: the head or the history then
-//! shows the id of the edit, or the head has moved on and the commit can no longer take effect,
-//! or the head is unchanged and the same transaction is sent again. At most one of them can take
-//! effect, since each compares the head.
+//! An edit reads the lists, checks that its author has seen the current revisions of the entries
+//! that it changes, verifies the result, and commits it in one compare-and-swap transaction on the
+//! head. If the answer to the commit is lost, the machine reads back the head and the history:
+//!
+//! - If the history has the id of the edit, the edit is recorded.
+//! - If the head has changed otherwise, the transaction can no longer take effect, and the edit
+//!   starts over.
+//! - If the head is unchanged, the same transaction is sent again. At most one copy can take
+//!   effect, since each compares the head.
 
 use crate::lists::storage::{Author, EditId, Record, StoredLists};
 use crate::lists::{Change, Delta, Finding, Version, storage, verify};
 use crate::revision;
 
-/// Times that an edit starts over because the head has moved.
+/// Maximum number of rounds, the first one included. An edit starts a new round when the head has
+/// changed.
 const MAX_ROUNDS: u32 = 8;
 
-/// Times that an edit reads back after a lost answer.
+/// Maximum number of times that an edit reads back after a lost answer.
 const MAX_READ_BACKS: u32 = 3;
 
-/// What the author had seen of an entry when it was edited.
+/// State of an entry that its author had seen when editing it. Otherwise the edit conflicts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Base {
@@ -29,51 +33,52 @@
     Lists(revision::Revision),
 }
 
-/// A change and what it was based on.
+/// A change and the state that it is based on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proposal {
     /// The change.
     pub change: Change,
-    /// What its author had seen.
+    /// State that its author had seen.
     pub base: Base,
 }
 
-/// Changes that an operator asks for.
+/// Changes that an operator proposes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Proposals {
     /// Changes of single entries.
     Entries(Vec<Proposal>),
-    /// Whole lists, based on the lists at a revision.
+    /// Replaces both lists, based on the lists at a revision.
     Whole(crate::lists::Lists, revision::Revision),
 }
 
-/// An entry that was changed by someone else since the author saw it.
+/// An entry that was changed after the author had seen it.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Conflict {
-    /// What the author asked for.
+    /// The change that the author proposed.
     pub yours: Change,
-    /// The entry as it is now.
+    /// The current entry, as the change that would write it.
     pub theirs: Change,
-    /// Revision of the entry as it is now, or `None` if it does not exist.
+    /// Revision of the current entry, or `None` if it does not exist.
     pub revision: Option<revision::Revision>,
 }
 
-/// How an edit ended.
+/// Outcome of an edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The store has recorded the edit.
     Recorded(Delta),
-    /// The lists already were as asked.
+    /// The lists already were as proposed.
     Unchanged(Version),
-    /// Entries were changed since the author saw them. Nothing was recorded.
+    /// Entries were changed after the author had seen them. Nothing was recorded.
     Conflict(Vec<Conflict>),
-    /// The lists would hold new findings. Nothing was recorded.
+    /// The changed lists would have new findings. Nothing was recorded.
     Invalid(Vec<Finding>),
     /// The operator may not make these changes. Nothing was recorded.
     Forbidden(Vec<Change>),
     /// The edit was not recorded and will not be.
     NotRecorded(Cause),
-    /// The edit may have been recorded: its id must be looked up when the store answers again.
+    /// The edit may have been recorded. Its id must be resolved with [`Resolve`] when the store
+    /// answers again.
     Unresolved(EditId),
 }
 
@@ -81,31 +86,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// The store cannot be reached.
+    /// The store cannot be reached or did not answer.
     StoreUnavailable,
-    /// The store is behind the fleet and is being brought up to date.
+    /// The store has an older version than the fleet and has to be repaired first.
     StoreBehind,
-    /// Other edits came first each time.
+    /// Other edits changed the head each time.
     Busy,
-    /// A value in the store cannot be read.
+    /// A value in the store cannot be decoded.
     StoreCorrupt,
 }
 
-/// What the machine asks its surroundings to do.
+/// Action that the caller of the state machine has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Read the lists and the head's guard, and pass them to [`Edit::read`].
+    /// Read the lists and the head's [`CasVersion`], and pass them to [`Edit::read`].
     Read,
-    /// Read the lists, the guard and the history, and pass them to [`Edit::read_back`].
+    /// Read the lists, the head's [`CasVersion`] and the history, and pass them to
+    /// [`Edit::read_back`].
     ReadBack,
-    /// Write in one transaction if the head still has the guard, and pass the answer to
-    /// [`Edit::committed`].
+    /// Write the record in one transaction if the head still has this version, and pass the result
+    /// to [`Edit::committed`].
     Commit(CasVersion, Record),
-    /// The edit has ended.
+    /// The edit has ended with this outcome.
     Done(Outcome),
 }
 
-/// Number by which the store tells writes of the head apart; zero if there is no head.
+/// Version of the head for compare-and-swap: the store's revision at its last write, or 0 if there
+/// is no head.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CasVersion(pub u64);
 
@@ -114,11 +121,11 @@
 pub enum CommitResult {
     /// The transaction took effect.
     Committed,
-    /// The head had moved: the transaction had no effect.
+    /// The head had changed, so the transaction had no effect.
     HeadChanged,
-    /// The transaction was not carried out and will not be.
+    /// The transaction has had no effect and will have none.
     NotSent,
-    /// The transaction may have taken effect or may yet.
+    /// The transaction may have taken effect, or may still do so.
     Unknown,
 }
 
@@ -129,12 +136,12 @@
     author: Author,
     at_ms: u64,
     proposals: Proposals,
-    /// Which changes the author may make.
+    /// Whether the author may make a change.
     allowed: F,
     served: Option<verify::ServedTargets>,
-    /// Largest version that the host knows of.
+    /// Largest version that the host has seen.
     highest_version: Version,
-    /// Transaction whose answer is outstanding or lost.
+    /// Transaction whose result is outstanding or unknown.
     sent: Option<(CasVersion, Record)>,
     rounds: u32,
     read_backs: u32,
@@ -144,7 +151,7 @@
 where
     F: Fn(&Change) -> bool,
 {
-    /// Makes an edit. The first step is [`Step::Read`].
+    /// Creates an edit. The first step is [`Step::Read`].
     pub fn new(
         record: EditId,
         author: Author,
@@ -166,7 +173,7 @@
         }
     }
 
-    /// Sets the models and services that endpoints can serve.
+    /// Sets the models and services that endpoints serve, to check plans against.
     #[must_use]
     pub fn with_served_targets(self, served: verify::ServedTargets) -> Self {
         Self {
@@ -175,7 +182,8 @@
         }
     }
 
-    /// Sets the largest version that the host knows of. A store that is behind takes no edits.
+    /// Sets the largest version that the host has seen. A store with a smaller version is not
+    /// edited.
     #[must_use]
     pub fn with_highest_version(self, highest_version: Version) -> Self {
         Self {
@@ -184,7 +192,7 @@
         }
     }
 
-    /// Takes the lists, or `None` if the store cannot be reached.
+    /// Handles the result of [`Step::Read`], `None` if the store did not answer.
     pub fn read(&mut self, read: Option<(CasVersion, &StoredLists)>) -> Step {
         let Some((cas_version, stored)) = read else {
             return not_recorded(Cause::StoreUnavailable);
@@ -212,13 +220,13 @@
         }
     }
 
-    /// Takes the answer to a commit.
+    /// Handles the result of [`Step::Commit`].
     pub fn committed(&mut self, answer: CommitResult) -> Step {
         match (answer, &self.sent) {
             (CommitResult::Committed, Some((_, record))) => {
                 Step::Done(Outcome::Recorded(record.delta.clone()))
             }
-            // An earlier copy of the transaction may be the one that moved the head.
+            // An earlier copy of the transaction may have taken effect and changed the head.
             (CommitResult::HeadChanged | CommitResult::NotSent, _) if self.read_backs > 0 => {
                 self.retry_read_back()
             }
@@ -231,8 +239,7 @@
         }
     }
 
-    /// Takes the lists and the history after a lost answer, or `None` if the store cannot be
-    /// reached.
+    /// Handles the result of [`Step::ReadBack`], `None` if the store did not answer.
     pub fn read_back(&mut self, read: Option<(CasVersion, &StoredLists, &[Record])>) -> Step {
         let Some((cas_version, stored, history)) = read else {
             return self.retry_read_back();
@@ -244,7 +251,8 @@
             Some((sent, record)) if *sent == cas_version => {
                 Step::Commit(cas_version, record.clone())
             }
-            // The head has changed without this edit, so it can never be recorded.
+            // The head has changed and the history lacks this edit, so the transaction that was
+            // sent can never take effect.
             _ => {
                 self.sent = None;
                 self.read_backs = 0;
@@ -261,7 +269,8 @@
         Step::ReadBack
     }
 
-    /// The changes that remain to be made, if they are allowed, up to date and valid.
+    /// Returns the proposed changes that are not in the lists yet. Fails if one is forbidden or
+    /// conflicts, or if the result has new findings.
     fn changes(&self, stored: &StoredLists) -> Result<Vec<Change>, Outcome> {
         let before = stored.snapshot().lists;
         let proposals = match &self.proposals {
@@ -304,7 +313,8 @@
 }
 
 fn conflicts(stored: &StoredLists, all: &Proposals, proposals: &[Proposal]) -> Vec<Conflict> {
-    // Whole lists also conflict with an entry that was removed since, which they would bring back.
+    // Replacing both lists would restore an entry that was removed after `base`, which is a
+    // conflict, too.
     let moved = match all {
         Proposals::Whole(_, base) => stored.version().revision != *base,
         Proposals::Entries(_) => false,
@@ -328,7 +338,7 @@
     proposals.iter().filter_map(conflict).collect()
 }
 
-/// Finds out whether an edit was recorded whose answer was lost.
+/// State machine that finds out whether an edit with an unknown result was recorded.
 #[derive(Debug)]
 pub struct Resolve {
     edit: EditId,
@@ -336,40 +346,41 @@
     at_ms: u64,
 }
 
-/// What is known of an edit.
+/// Result of resolving an edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Resolved {
     /// The edit is in the history.
     Recorded(Record),
-    /// The edit was not recorded and can no longer be.
+    /// The edit was not recorded and never will be.
     NotRecorded,
-    /// The edit is older than the history.
+    /// The edit is older than the history, so its outcome can no longer be determined.
     Forgotten,
-    /// The store cannot be reached.
+    /// The store did not answer, or the result of the commit is unknown.
     Unavailable,
 }
 
-/// What the resolution asks its surroundings to do.
+/// Action that the caller of the resolution has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResolveStep {
-    /// Read the lists, the guard and the history, and pass them to [`Resolve::read`].
+    /// Read the version of the lists, the head's [`CasVersion`] and the history, and pass them to
+    /// [`Resolve::read`].
     Read,
-    /// Write in one transaction if the head still has the guard, and pass the answer to
-    /// [`Resolve::committed`].
+    /// Write the record in one transaction if the head still has this version, and pass the result
+    /// to [`Resolve::committed`].
     Commit(CasVersion, Record),
-    /// The edit is resolved.
+    /// The resolution has ended with this result.
     Done(Resolved),
 }
 
 impl Resolve {
-    /// Starts to resolve an edit. `fence` is the id of an empty edit that moves the head, so that
-    /// a transaction which is still on its way can no longer take effect.
+    /// Creates the resolution of an edit. `fence` is the id of an empty edit that changes the head,
+    /// so that a transaction which is still in flight can no longer take effect.
     #[must_use]
     pub const fn new(edit: EditId, fence: EditId, at_ms: u64) -> Self {
         Self { edit, fence, at_ms }
     }
 
-    /// Takes the lists and the history, or `None` if the store cannot be reached.
+    /// Handles the result of [`ResolveStep::Read`], `None` if the store did not answer.
     #[must_use]
     pub fn read(&self, read: Option<(CasVersion, Version, &[Record])>) -> ResolveStep {
         let Some((cas_version, version, history)) = read else {
@@ -395,7 +406,7 @@
         ResolveStep::Commit(cas_version, record)
     }
 
-    /// Takes the answer to a commit.
+    /// Handles the result of [`ResolveStep::Commit`].
     #[must_use]
     pub fn committed(&self, answer: CommitResult) -> ResolveStep {
         match answer {
--- a/crates/core/src/lists/finding.rs
+++ b/crates/core/src/lists/finding.rs
@@ -1,30 +1,30 @@
-//! Findings of the verifier, each with its place.
+//! Findings of the verifier, each with its location in the document.
 
 use std::fmt;
 
 use crate::{lists, name, units};
 
-/// JsonPointer of a finding in a document with the members `accounts` and `plans`, as a JSON pointer
-/// (RFC 6901).
+/// Location of a finding as a JSON pointer (RFC 6901) into a document with the members `accounts`
+/// and `plans`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize)]
 #[serde(transparent)]
 pub struct JsonPointer(String);
 
 impl JsonPointer {
-    /// The whole document.
+    /// Pointer to the whole document.
     #[must_use]
     pub const fn root() -> Self {
         Self(String::new())
     }
 
-    /// JsonPointer of a member of the object at this place.
+    /// Pointer to a member of the object that this pointer refers to.
     #[must_use]
     pub fn member(&self, key: &str) -> Self {
         let escaped = key.replace('~', "~0").replace('/', "~1");
         Self(format!("{}/{escaped}", self.0))
     }
 
-    /// JsonPointer of an element of the array at this place.
+    /// Pointer to an element of the array that this pointer refers to.
     #[must_use]
     pub fn element(&self, index: usize) -> Self {
         Self(format!("{}/{index}", self.0))
@@ -47,38 +47,38 @@
     }
 }
 
-/// What is wrong at a place.
+/// Kind of a finding. Operators see the text of its `Display`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum FindingKind {
-    /// The text is not JSON.
+    /// The text is not valid JSON.
     Syntax {
         /// Line, from 1.
         line: usize,
         /// Column, from 1.
         column: usize,
-        /// What the parser expected.
+        /// Error of the parser.
         cause: String,
     },
-    /// The document or a part of it is larger than the bound.
+    /// The document or an array exceeds its maximum size.
     TooLarge {
-        /// Size found, in bytes or entries.
+        /// Actual size, in bytes of the document or elements of the array.
         size: usize,
-        /// Largest size allowed.
+        /// Maximum size.
         max: usize,
     },
-    /// The key stands twice in its object.
+    /// The object has the key more than once.
     DuplicateKey,
-    /// The value has another type.
+    /// The value has the wrong type.
     WrongType {
-        /// Type that the field has.
+        /// Expected type.
         expected: &'static str,
-        /// Type that was found.
+        /// Actual type.
         found: &'static str,
     },
-    /// The field does not exist.
+    /// The entry has no such field.
     UnknownField {
-        /// Fields that exist.
+        /// Valid fields.
         known: &'static [&'static str],
     },
     /// A required field is missing.
@@ -86,32 +86,32 @@
         /// Name of the field.
         field: &'static str,
     },
-    /// The text is not a name.
+    /// The text is not a valid name.
     BadName,
     /// The text is not a SHA-256 digest in hexadecimal.
     BadDigest,
     /// The number is outside its range.
     OutOfRange {
-        /// Number found.
+        /// Actual number.
         value: u64,
-        /// Smallest number allowed.
+        /// Minimum.
         min: u64,
-        /// Largest number allowed.
+        /// Maximum.
         max: u64,
     },
-    /// The element stands twice in its array.
+    /// The array has the element more than once.
     Repeated,
     /// No plan has this name.
     UnknownPlan {
         /// Name of the plan.
         plan: name::PlanName,
     },
-    /// Another account, or this one, has the same key digest.
+    /// The same key digest occurs earlier, in another account or in this one.
     DuplicateDigest {
-        /// JsonPointer of the first one.
+        /// Location of the first occurrence.
         first: JsonPointer,
     },
-    /// No engine can serve the model.
+    /// No engine serves the model.
     UnreachableModel {
         /// Name of the model.
         model: name::ModelName,
@@ -121,13 +121,13 @@
         /// Name of the service.
         service: name::ServiceName,
     },
-    /// The plan holds no model and no service.
+    /// The plan has neither a model nor a service.
     NothingToUse,
-    /// The longest answer exceeds the tokens a minute.
+    /// The maximum length of an answer exceeds the limit of tokens per minute.
     AnswerExceedsRate {
-        /// Longest answer of the plan.
+        /// Maximum length of an answer.
         longest: units::Tokens,
-        /// Tokens a minute of the plan.
+        /// Limit of tokens per minute.
         rate: units::PerMinute,
     },
 }
@@ -172,12 +172,12 @@
     }
 }
 
-/// A fault and its place.
+/// A finding of the verifier.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 pub struct Finding {
-    /// Where.
+    /// Location in the document.
     pub place: JsonPointer,
-    /// What.
+    /// Kind of the finding.
     pub fault: FindingKind,
 }
 
--- a/crates/core/src/lists/json.rs
+++ b/crates/core/src/lists/json.rs
@@ -1,7 +1,7 @@
-//! JSON as it was written: with the order of object members and with repeated keys.
+//! JSON values that preserve the order of object members and duplicate keys.
 //!
-//! The maps of `serde_json` keep one of two members with the same key, so an entry that was
-//! pasted twice would be lost without a word.
+//! The maps of `serde_json` keep only one of two members with the same key, so that an entry that
+//! was pasted twice would be dropped silently.
 
 use std::fmt;
 
@@ -12,18 +12,18 @@
 pub(super) enum Node {
     Null,
     Bool,
-    /// A whole number that is not negative.
+    /// A nonnegative integer.
     Integer(u64),
     /// Any other number.
     Number,
     Text(String),
     Array(Vec<Node>),
-    /// Members in the order of the text.
+    /// Members in the order of the text, with duplicate keys.
     Object(Vec<(String, Node)>),
 }
 
 impl Node {
-    /// Kind of the value in a finding.
+    /// Name of the value's type in a finding.
     pub(super) const fn kind(&self) -> &'static str {
         match self {
             Self::Null => "null",
--- a/crates/core/src/lists/message.rs
+++ b/crates/core/src/lists/message.rs
@@ -1,48 +1,49 @@
-//! Messages between hosts that distribute the lists.
+//! Messages between hosts that replicate the lists.
 
 use smallvec::SmallVec;
 
 use crate::lists::{Delta, Snapshot, Version};
 use crate::{entity, revision};
 
-/// Most revisions that a domain report tells apart.
+/// Maximum number of revisions that a domain report counts separately.
 pub const MAX_LEVELS: usize = 4;
 
-/// A message between two hosts.
+/// A message between two hosts. Encoded by position: the order of the variants is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
-    /// The sender has this version in force.
+    /// Version that the sender has in force.
     Announce(Version),
-    /// Consecutive deltas.
+    /// Consecutive deltas, oldest first.
     Deltas(Vec<Delta>),
-    /// Asks for what follows the version that the sender has.
+    /// Requests everything that follows this version, which the sender has in force.
     Fetch(Version),
-    /// The whole lists, for a receiver that is too far behind for deltas.
+    /// A snapshot of both lists, for a receiver that is too far behind for deltas.
     Snapshot(Snapshot),
-    /// What the sender knows of the domains.
+    /// Latest reports on all domains that the sender has.
     Domains(Vec<DomainReport>),
-    /// Asks for what the receiver knows of the domains.
+    /// Requests the receiver's reports on the domains.
     AskDomains,
 }
 
-/// What the hosts of one domain have in force.
+/// Report on the revisions that the hosts of one failure domain have in force.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DomainReport {
     /// The domain.
     pub domain: entity::DomainId,
-    /// Live hosts of the domain.
+    /// Number of live hosts of the domain.
     pub hosts: u32,
-    /// Revisions in force with the number of hosts that confirmed them, the largest first.
-    /// Beyond [`MAX_LEVELS`] the hosts count for the smallest of them.
+    /// Revisions in force, each with the number of hosts that confirmed it, largest first. If
+    /// there are more than [`MAX_LEVELS`] revisions, hosts with a larger revision than the largest
+    /// one listed count for that one.
     pub levels: SmallVec<[(revision::Revision, u32); MAX_LEVELS]>,
     /// Age of the report, in milliseconds.
     pub age_ms: u32,
 }
 
 impl DomainReport {
-    /// Hosts that confirmed the revision or a later one.
+    /// Number of hosts that confirmed the revision or a later one.
     #[must_use]
     pub fn confirmed(&self, revision: revision::Revision) -> u32 {
         let levels = self.levels.iter();
--- a/crates/core/src/lists/mod.rs
+++ b/crates/core/src/lists/mod.rs
@@ -1,7 +1,7 @@
 //! The two lists that operators edit: plans and client accounts.
 //!
-//! [`verify`] reads and checks them, [`edit`] changes them in the key-value service in the layout
-//! of [`storage`], and [`replica`] distributes them to every host.
+//! [`verify`] parses and validates them, [`edit`] changes them in the key-value service in the
+//! layout of [`storage`], and [`replica`] replicates them to every host.
 
 mod digest;
 pub mod edit;
--- a/crates/core/src/lists/model.rs
+++ b/crates/core/src/lists/model.rs
@@ -1,10 +1,10 @@
-//! Entries of the two lists.
+//! Data model of the two lists and of their changes.
 
 use std::collections::BTreeMap;
 
 use crate::{lists, name, request, units};
 
-/// A client account and the plan that it holds.
+/// A client account: its plan and API keys.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
@@ -14,21 +14,21 @@
     pub key_digests: Vec<lists::KeyDigest>,
 }
 
-/// What the accounts that hold a plan may use. Limits hold for each account by itself.
+/// Access rights and limits of the accounts with a plan. Limits apply to each account separately.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Models that the plan may use.
+    /// Models that the accounts may use.
     #[serde(default)]
     pub models: Vec<name::ModelName>,
-    /// Services that the plan may use.
+    /// Services that the accounts may use.
     #[serde(default)]
     pub services: Vec<name::ServiceName>,
-    /// Requests a minute.
+    /// Limit of requests per minute.
     pub requests_per_minute: units::PerMinute,
-    /// Tokens a minute, read and generated.
+    /// Limit of tokens per minute, prompt and answer together.
     pub tokens_per_minute: units::PerMinute,
-    /// Requests in flight at once.
+    /// Limit of concurrent requests.
     pub in_flight: units::Requests,
     /// Priority that is passed to engines; larger is more urgent.
     #[serde(default)]
@@ -36,7 +36,7 @@
     /// Weight in fair queueing.
     #[serde(default = "one")]
     pub weight: u32,
-    /// Longest answer, in tokens.
+    /// Maximum length of an answer, in tokens.
     pub longest_answer: units::Tokens,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Plan {
-    /// Whether the plan holds the target.
+    /// Whether accounts with the plan may use the target.
     #[must_use]
     pub fn allows(&self, target: &request::Target) -> bool {
         match target {
@@ -82,7 +82,7 @@
 }
 
 impl Lists {
-    /// Makes a change.
+    /// Applies a change.
     pub fn apply(&mut self, change: &Change) {
         match change {
             Change::PutAccount(name, account) => {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Whether the change would leave the lists as they are.
+    /// Whether the lists already are as the change would make them.
     #[must_use]
     pub fn is_unchanged_by(&self, change: &Change) -> bool {
         match change {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The changes that lead from these lists to others.
+    /// The changes that turn these lists into `to`.
     #[must_use]
     pub fn changes_to(&self, to: &Self) -> Vec<Change> {
         let put_plans = to
--- a/crates/core/src/lists/read.rs
+++ b/crates/core/src/lists/read.rs
@@ -1,4 +1,4 @@
-//! Reads entries from JSON and collects what is wrong with their shape.
+//! Parses entries from JSON and collects findings on their structure and values.
 
 use std::collections::BTreeSet;
 use std::str::FromStr;
@@ -7,16 +7,16 @@
 use super::json::Node;
 use crate::{lists, name, units};
 
-/// Most API keys of an account.
+/// Maximum number of API keys of an account.
 pub const MAX_KEYS: usize = 16;
 
-/// Most models or services of a plan.
+/// Maximum number of models, and of services, of a plan.
 pub const MAX_TARGETS: usize = 256;
 
-/// Largest limit of a plan, in units a minute or requests.
+/// Maximum of each limit of a plan: units per minute, concurrent requests, or tokens of an answer.
 pub const MAX_LIMIT: u64 = 1 << 40;
 
-/// Largest weight of a plan.
+/// Maximum weight of a plan.
 pub const MAX_WEIGHT: u64 = 10_000;
 
 const ACCOUNT_FIELDS: &[&str] = &["plan", "key_digests"];
@@ -32,16 +32,16 @@
     "longest_answer",
 ];
 
-/// An account as far as it could be read.
+/// An account whose fields may be missing because of findings.
 #[derive(Debug, Default)]
 pub(super) struct AccountDraft {
     pub(super) plan: Option<name::PlanName>,
-    /// Digests in the order of the text, `None` where it could not be read.
+    /// Digests in the order of the text, `None` for each invalid one.
     pub(super) digests: Vec<Option<lists::KeyDigest>>,
 }
 
 impl AccountDraft {
-    /// The account, if each part of it was read.
+    /// Returns the account if every field is valid.
     pub(super) fn finish(self) -> Option<lists::Account> {
         Some(lists::Account {
             plan: self.plan?,
@@ -50,12 +50,12 @@
     }
 }
 
-/// A plan as far as it could be read.
+/// A plan whose fields may be missing because of findings.
 #[derive(Debug, Default)]
 pub(super) struct PlanDraft {
-    /// Models in the order of the text, `None` where it could not be read.
+    /// Models in the order of the text, `None` for each invalid one.
     pub(super) models: Vec<Option<name::ModelName>>,
-    /// Services in the order of the text, `None` where it could not be read.
+    /// Services in the order of the text, `None` for each invalid one.
     pub(super) services: Vec<Option<name::ServiceName>>,
     requests_per_minute: Option<u64>,
     pub(super) tokens_per_minute: Option<u64>,
@@ -66,7 +66,7 @@
 }
 
 impl PlanDraft {
-    /// The plan, if each part of it was read.
+    /// Returns the plan if every field is valid.
     pub(super) fn finish(self) -> Option<lists::Plan> {
         Some(lists::Plan {
             models: self.models.into_iter().collect::<Option<_>>()?,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Collects findings while it reads.
+/// Parser of entries. It continues after a finding, to report all of them.
 #[derive(Debug, Default)]
 pub(super) struct Reader {
     pub(super) findings: Vec<Finding>,
@@ -95,7 +95,7 @@
         });
     }
 
-    /// Members of an object. The first of two members with the same key is kept.
+    /// Returns the members of an object. Of members with the same key, only the first is returned.
     pub(super) fn members<'n>(
         &mut self,
         place: &JsonPointer,
@@ -176,7 +176,7 @@
         draft
     }
 
-    /// Members of an entry; reports unknown and missing fields.
+    /// Returns the members of an entry, and reports unknown and missing fields.
     fn fields<'n>(
         &mut self,
         place: &JsonPointer,
--- a/crates/core/src/lists/storage.rs
+++ b/crates/core/src/lists/storage.rs
@@ -1,8 +1,9 @@
 //! Keys and values of the lists in the key-value service.
 //!
-//! Each entry is a key, with the revision at which it was last changed. The head holds the
-//! version of the lists, and every edit is one transaction that compares the head, so that the
-//! lists in the store are always whole. The history holds one key for each of the last edits.
+//! Each entry has its own key, whose value includes the revision of the last change. The head key
+//! has the version of the lists. Every edit is one transaction that compares the head, so that the
+//! stored lists are always consistent. The history has one key for each of the last
+//! [`HISTORY_LEN`] edits.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -26,10 +27,10 @@
 
 const PLANS: &str = "/pistachiochute/lists/plans/";
 
-/// Edits that the history keeps.
+/// Number of edits that the history retains.
 pub const HISTORY_LEN: u64 = 1_024;
 
-/// Id of an edit, a UUIDv7 made by the host that carries it out.
+/// Id of an edit: a UUIDv7 from the host that carries it out.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -50,13 +51,13 @@
     }
 }
 
-/// The value of the head.
+/// Value of the head key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Head {
     /// Version of the lists.
     pub version: Version,
-    /// The edit that led to it.
+    /// The edit that created this version.
     pub edit: EditId,
 }
 
@@ -76,7 +77,7 @@
 pub enum Author {
     /// An operator.
     Operator(name::OperatorName),
-    /// The fleet itself, when it brings the store up to date or settles an edit.
+    /// The fleet itself, when it repairs the store or resolves an edit.
     Fleet,
 }
 
@@ -86,31 +87,32 @@
 pub struct Record {
     /// Id of the edit.
     pub edit: EditId,
-    /// Who made it.
+    /// Author of the edit.
     pub author: Author,
-    /// When, in milliseconds of Unix time on the clock of the host that carried it out.
+    /// Time of the edit in milliseconds since the Unix epoch, by the clock of the host that carried
+    /// it out.
     pub at_ms: u64,
-    /// What it changed.
+    /// Changes of the edit.
     pub delta: Delta,
 }
 
-/// The lists as the store holds them.
+/// The lists as they are in the store, with the revision of each entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredLists {
     /// The head, or `None` before the first edit.
     pub head: Option<Head>,
-    /// Accounts.
+    /// Accounts by name.
     pub accounts: BTreeMap<name::AccountName, Versioned<Account>>,
-    /// Plans.
+    /// Plans by name.
     pub plans: BTreeMap<name::PlanName, Versioned<Plan>>,
 }
 
-/// A value in the store that cannot be read.
+/// Error for a key or value in the store that cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CorruptValue {
     /// Key of the value.
     pub key: String,
-    /// What is wrong with it.
+    /// Error of the decoder.
     pub cause: String,
 }
 
@@ -123,11 +125,11 @@
 impl std::error::Error for CorruptValue {}
 
 impl StoredLists {
-    /// Reads the keys under [`PREFIX`].
+    /// Decodes the keys and values under [`PREFIX`]. Unknown keys are ignored.
     ///
     /// # Errors
     ///
-    /// Returns the first value that cannot be read.
+    /// Returns an error for the first key or value that cannot be decoded.
     pub fn read<'a, I>(entries: I) -> Result<Self, CorruptValue>
     where
         I: IntoIterator<Item = (&'a [u8], &'a [u8])>,
@@ -148,13 +150,13 @@
         Ok(stored)
     }
 
-    /// Version of the lists.
+    /// Version of the lists, [`Version::NONE`] before the first edit.
     #[must_use]
     pub fn version(&self) -> Version {
         self.head.map_or(Version::NONE, |head| head.version)
     }
 
-    /// The lists without their revisions.
+    /// The lists without the revisions of the entries.
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
         let accounts = self.accounts.iter();
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Revision at which the entry of a change was last changed, or `None` if it does not exist.
+    /// Revision of the entry that a change refers to, or `None` if the entry does not exist.
     #[must_use]
     pub fn entry_revision(&self, change: &Change) -> Option<revision::Revision> {
         match change {
@@ -183,7 +185,7 @@
         }
     }
 
-    /// The change that would write the entry of another change as it is now.
+    /// The change that would write the current state of the entry that `change` refers to.
     #[must_use]
     pub fn entry_as_change(&self, change: &Change) -> Change {
         match change {
@@ -211,7 +213,7 @@
     }
 }
 
-/// Reads a record of the history.
+/// Decodes a record of the history.
 ///
 /// # Errors
 ///
@@ -220,16 +222,16 @@
     parse(&String::from_utf8_lossy(key), value)
 }
 
-/// A write of one key, or its removal.
+/// A write to one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
-    /// Writes a value.
+    /// Sets the value.
     Put(String, Bytes),
-    /// Removes a key.
+    /// Removes the key.
     Delete(String),
 }
 
-/// The writes of an edit, which are one transaction that compares the head.
+/// The writes of an edit, to be committed in one transaction that compares the head.
 #[must_use]
 pub fn writes(record: &Record) -> Vec<Write> {
     let to = record.delta.to;
@@ -247,7 +249,7 @@
     writes
 }
 
-/// The writes that bring a store up to date that holds other entries.
+/// The writes that replace the entries in the store by `lists`, together with those of the record.
 #[must_use]
 pub fn repair_writes(stored: &StoredLists, lists: &Lists, record: &Record) -> Vec<Write> {
     let revision = record.delta.to.revision;
@@ -276,7 +278,7 @@
 where
     V: serde::Serialize,
 {
-    // Every value is a struct of names, numbers and texts, which JSON can always hold.
+    // Serialization does not fail: every value has only names, numbers and strings.
     Write::Put(key, serde_json::to_vec(value).unwrap_or_default().into())
 }
 
@@ -308,7 +310,7 @@
     }
 }
 
-/// Findings that an edit brings in, beside those that the lists had before.
+/// Findings of the lists after an edit that they did not have before.
 #[must_use]
 pub fn new_findings(
     before: &Lists,
--- a/crates/core/src/lists/verify.rs
+++ b/crates/core/src/lists/verify.rs
@@ -1,8 +1,8 @@
-//! Verifier of the two lists.
+//! Validation of the two lists.
 //!
-//! It reports every finding of both lists together: the shape of each entry, and then what the
-//! entries say about each other. Files, the administration API and the command line use the same
-//! functions, so that a text that passes in one place passes in all.
+//! The verifier reports all findings of both lists together: first on the structure of each entry,
+//! then on references between entries. Files, the administration API and the command line use the
+//! same functions, so that they accept the same texts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,26 +11,26 @@
 use super::read::{AccountDraft, PlanDraft, Reader};
 use crate::{lists, name, topology, units};
 
-/// Longest text of the two lists together, in bytes. A whole copy then fits into one message
-/// between hosts.
+/// Maximum size of the texts of both lists together, in bytes. A snapshot then fits into one
+/// message between hosts.
 pub const MAX_TEXT_LEN: usize = 1 << 20;
 
-/// Most findings that are reported.
+/// Maximum number of findings that are reported.
 pub const MAX_FINDINGS: usize = 1_000;
 
 const MEMBERS: &[&str] = &["accounts", "plans"];
 
-/// Models and services that endpoints can serve.
+/// Models and services that the endpoints of the fleet serve.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServedTargets {
-    /// Models that at least one engine can serve.
+    /// Models that at least one engine serves.
     pub models: BTreeSet<name::ModelName>,
     /// Services that at least one endpoint serves.
     pub services: BTreeSet<name::ServiceName>,
 }
 
 impl ServedTargets {
-    /// Collects what the endpoints of the host list serve.
+    /// Collects the models and services of all endpoints in the host list.
     #[must_use]
     pub fn from_host_list(hosts: &topology::HostList) -> Self {
         let mut served = Self::default();
@@ -48,13 +48,13 @@
     }
 }
 
-/// Verifies the texts of the two lists, each an object of entries by name.
+/// Verifies the texts of the two lists, each a JSON object of entries by name.
 ///
-/// Without `served`, models and services are not looked up.
+/// Without `served`, the models and services of plans are not checked.
 ///
 /// # Errors
 ///
-/// Returns every finding of both texts, at most [`MAX_FINDINGS`].
+/// Returns all findings of both texts, but at most [`MAX_FINDINGS`].
 pub fn texts(
     accounts: &[u8],
     plans: &[u8],
@@ -68,11 +68,13 @@
     finish(reader, accounts.as_ref(), plans.as_ref(), served)
 }
 
-/// Verifies one text with the members `accounts` and `plans`.
+/// Verifies the text of a JSON object with the members `accounts` and `plans`.
+///
+/// Without `served`, the models and services of plans are not checked.
 ///
 /// # Errors
 ///
-/// Returns every finding, at most [`MAX_FINDINGS`].
+/// Returns all findings, but at most [`MAX_FINDINGS`].
 pub fn document(text: &[u8], served: Option<&ServedTargets>) -> Result<lists::Lists, Vec<Finding>> {
     let mut reader = Reader::default();
     check_len(&mut reader, text.len());
@@ -97,11 +99,11 @@
     finish(reader, accounts, plans, served)
 }
 
-/// Reads the text of one account by itself. What it says about plans is not looked up.
+/// Parses the text of a single account. Whether its plan exists is not checked.
 ///
 /// # Errors
 ///
-/// Returns every finding.
+/// Returns all findings.
 pub fn account(
     name: &str,
     text: &[u8],
@@ -114,11 +116,11 @@
     entry_or_findings(reader, key, entry)
 }
 
-/// Reads the text of one plan by itself. Models and services are not looked up.
+/// Parses the text of a single plan. Its models and services are not checked.
 ///
 /// # Errors
 ///
-/// Returns every finding.
+/// Returns all findings.
 pub fn plan(name: &str, text: &[u8]) -> Result<(name::PlanName, lists::Plan), Vec<Finding>> {
     let place = JsonPointer::root().member("plans").member(name);
     let mut reader = Reader::default();
@@ -128,7 +130,7 @@
     entry_or_findings(reader, key, entry)
 }
 
-/// Findings of lists that were read before.
+/// Verifies lists that are already parsed. Returns all findings, but at most [`MAX_FINDINGS`].
 #[must_use]
 pub fn lists(lists: &lists::Lists, served: Option<&ServedTargets>) -> Vec<Finding> {
     let text = serde_json::to_vec(lists).unwrap_or_default();
@@ -264,8 +266,8 @@
     }
 }
 
-/// Checks what accounts say about plans and each other. `plans` is `None` if the list of plans
-/// could not be read at all.
+/// Checks that the plans of accounts exist and that no two key digests are equal. `plans` is `None`
+/// if the list of plans could not be parsed; then plans are not checked.
 fn check_accounts(
     reader: &mut Reader,
     place: &JsonPointer,
--- a/crates/core/src/lists/version.rs
+++ b/crates/core/src/lists/version.rs
@@ -1,4 +1,4 @@
-//! Versions of the two lists, and the deltas between them.
+//! Versions of the two lists, and deltas between versions.
 
 use std::fmt;
 
@@ -8,10 +8,10 @@
 
 const CHAIN_LEN: usize = 16;
 
-/// Digest over the whole history of the lists, cut to 128 bits.
+/// Hash chain over the whole history of the lists, truncated to 128 bits.
 ///
-/// Two histories that share a revision but not their edits, as after the store was restored from
-/// an older copy, differ in it.
+/// It distinguishes histories that have the same revision but different edits, as after the store
+/// was restored from an older backup.
 #[derive(
     Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -35,6 +35,7 @@
 }
 
 impl fmt::Debug for Chain {
+    /// The first 4 bytes in hexadecimal. Part of the text of a [`Version`].
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&hex::encode(&self.0[..4]))
     }
@@ -42,7 +43,7 @@
 
 /// Version of the two lists.
 ///
-/// Versions are totally ordered, first by revision. A replica only ever moves to a larger one.
+/// Versions are totally ordered, first by revision. A replica only changes to a larger version.
 #[derive(
     Clone,
     Copy,
@@ -58,9 +59,9 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct Version {
-    /// Number of edits that led here.
+    /// Number of edits since the empty lists.
     pub revision: revision::Revision,
-    /// Digest over these edits.
+    /// Hash chain over these edits.
     pub chain: Chain,
 }
 
@@ -71,7 +72,7 @@
         chain: Chain([0; CHAIN_LEN]),
     };
 
-    /// Version that follows when the changes are made at a revision.
+    /// Version after the changes are made at `revision`.
     #[must_use]
     pub fn next(self, revision: revision::Revision, changes: &[lists::Change]) -> Self {
         let mut hasher = sha2::Sha256::new();
@@ -98,16 +99,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Delta {
-    /// Version that the changes apply to.
+    /// Version before the changes.
     pub from: Version,
-    /// Version that they lead to. Invariant: larger than `from`.
+    /// Version after the changes. Invariant: larger than `from`.
     pub to: Version,
     /// The changes, in order.
     pub changes: Vec<lists::Change>,
 }
 
 impl Delta {
-    /// Makes the delta that follows a version.
+    /// Creates the delta that follows a version, at the next revision.
     #[must_use]
     pub fn after(from: Version, changes: Vec<lists::Change>) -> Self {
         let revision = revision::Revision(from.revision.0 + 1);
@@ -116,7 +117,7 @@
     }
 }
 
-/// The whole lists at a version.
+/// Both lists at a version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
--- a/crates/core/tests/catalog.rs
+++ b/crates/core/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! Routes, accounts and the version in force.
+//! Lookup of routes and accounts, weighted targets, and replacement of the catalog.
 
 use std::time::Duration;
 
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins() {
+fn longest_prefix_wins() {
     let routes = vec![
         route("root", "a.example", "/"),
         route("outer", "a.example", "/x/"),
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn keys_are_found_by_their_digest() {
+fn accounts_are_found_by_api_key() {
     let catalog = Catalog::new(content(1, Vec::new()));
     assert!(catalog.account_of_key(b"key-2").is_some());
     assert!(catalog.account_of_key(b"key-3").is_none());
 }
 
 #[test]
-fn the_version_in_force_never_goes_down() {
+fn current_version_never_decreases() {
     let mut current = CurrentCatalog::default();
     assert_eq!(
         current.update(content(7, Vec::new())),
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn weights_divide_the_requests() {
+fn targets_get_requests_by_weight() {
     let mut split = route("split", "a.example", "/");
     split.targets = smallvec![
         Target {
--- a/crates/core/tests/lists_edit.rs
+++ b/crates/core/tests/lists_edit.rs
@@ -1,4 +1,4 @@
-//! Edits against a store that loses answers, delays writes and moves under them.
+//! Edits against a store that loses answers, delays writes and has concurrent edits.
 
 use std::collections::BTreeMap;
 
@@ -13,12 +13,12 @@
 use pistachiochute_core::units;
 use proptest::prelude::*;
 
-/// A store with one head whose transactions may be held back.
+/// A store with one head whose transactions may be delayed.
 #[derive(Default)]
 struct Store {
     keys: BTreeMap<String, (u64, Bytes)>,
     revision: u64,
-    /// Transactions that are still on their way.
+    /// Transactions that are still in flight.
     delayed: Vec<(CasVersion, Record)>,
 }
 
@@ -74,16 +74,16 @@
     }
 }
 
-/// What happens to a call to the store.
+/// Outcome of a call to the store.
 #[derive(Clone, Copy, Debug)]
 enum CallOutcome {
     Answered,
     NotSent,
-    /// Takes effect; the answer is lost.
+    /// The call takes effect, but its answer is lost.
     AnswerLost,
-    /// Takes effect later, if at all; the answer is lost.
+    /// The call takes effect later, if at all, and its answer is lost.
     Delayed,
-    /// Another operator's edit comes first.
+    /// Another operator's edit is committed first.
     Raced,
 }
 
@@ -210,7 +210,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// What an edit reports is true, and stays true when delayed writes arrive afterwards.
+    /// The reported outcome of an edit matches the store, also after delayed writes have arrived.
     #[test]
     fn reported_outcome_matches_the_store(outcomes in proptest::collection::vec(call_outcome(), 0..24)) {
         let mut store = Store::default();
--- a/crates/core/tests/lists_replica.rs
+++ b/crates/core/tests/lists_replica.rs
@@ -1,4 +1,4 @@
-//! A replica's version never goes down, and all replicas agree once faults end.
+//! A replica's version never decreases, and all replicas converge once faults end.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
     }
 }
 
-/// A message on its way.
+/// A message with its sender and receiver.
 #[derive(Clone)]
 struct Envelope {
     from: entity::HostId,
@@ -47,23 +47,24 @@
     message: message::Message,
 }
 
-/// Hosts, messages on their way and a store.
+/// Simulated hosts, messages in flight and a store.
 struct Fleet {
     now: time::Time,
     replicas: BTreeMap<entity::HostId, replica::Replica>,
     in_flight: Vec<Envelope>,
-    /// Answers and watch events of the store on their way.
+    /// Answers of the store in flight.
     store_answers: Vec<(entity::HostId, StoreAnswer)>,
+    /// Watch events of the store in flight.
     watch_events: Vec<(entity::HostId, Delta)>,
     watchers: Vec<entity::HostId>,
     store: Snapshot,
     backups: Vec<Snapshot>,
     store_up: bool,
-    /// Domain that is cut off from the store and the other domains.
+    /// Domain that is partitioned from the store and the other domains.
     isolated_domain: Option<entity::DomainId>,
     /// Lists of each version that ever existed.
     lists_by_version: BTreeMap<Version, lists::Lists>,
-    /// Largest version in force by host, over the life of its process.
+    /// Last version in force on each host since its last start.
     in_force: BTreeMap<entity::HostId, Version>,
 }
 
@@ -168,7 +169,7 @@
             .extend(watchers.map(|host| (*host, delta.clone())));
     }
 
-    /// An edit through a host, which refuses while the store is behind what it knows of.
+    /// Edits through a host, which refuses while the store has a smaller version than it has seen.
     fn edit(&mut self, host: entity::HostId, weight: u32) {
         let replica = &self.replicas[&host];
         let current = replica.is_ready() && self.store.version >= replica.highest_version();
@@ -252,7 +253,7 @@
         }
     }
 
-    /// Delivers everything in order for a while, without faults.
+    /// Ends all faults and delivers everything in order for a while.
     fn run_without_faults(&mut self, duration: Duration) {
         self.store_up = true;
         self.isolated_domain = None;
@@ -286,9 +287,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Messages are reordered, repeated, lost and stale; hosts restart; the store goes down and
-    /// is restored from older copies; a domain is cut off. No version in force ever goes down
-    /// (checked by the fleet at each effect), and in the end every host has the largest one.
+    /// Messages are reordered, duplicated, lost and delayed; hosts restart; the store goes down and
+    /// is restored from older backups; a domain is partitioned. No version in force ever decreases
+    /// (checked at each effect), and in the end every host has the largest one.
     #[test]
     fn version_never_goes_down(ops in proptest::collection::vec((0_u8..100, any::<u16>()), 1..500)) {
         let mut fleet = Fleet::new();
@@ -314,7 +315,8 @@
                     domain => entity::DomainId::new(domain),
                 },
             }
-            // A restart of the only host that has a version may lose it; the others keep theirs.
+            // A restart of the only host that has a version may lose that version. The other hosts
+            // keep theirs.
             let ready = fleet.replicas.values().filter(|replica| replica.is_ready());
             largest = ready.map(replica::Replica::version).max().unwrap_or_default();
         }
--- a/crates/core/tests/lists_verify.rs
+++ b/crates/core/tests/lists_verify.rs
@@ -1,4 +1,4 @@
-//! The verifier reports every finding of both lists with its place.
+//! The verifier reports all findings of both lists with their locations.
 
 use pistachiochute_core::lists::{self, verify};
 
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn bounds_the_text_and_its_depth() {
+fn rejects_texts_that_are_too_large_or_too_deep() {
     let long = vec![b' '; verify::MAX_TEXT_LEN + 1];
     assert!(found(verify::document(&long, None))[0].contains("exceeds"));
     let deep = [vec![b'['; 100_000], vec![b']'; 100_000]].concat();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn reads_single_entries() {
+fn parses_single_entries() {
     let text = format!(r#"{{"plan": "coop", "key_digests": ["{DIGEST}"]}}"#);
     let (name, account) = verify::account("farm-1", text.as_bytes()).unwrap();
     assert_eq!((name.as_str(), account.plan.as_str()), ("farm-1", "coop"));
