--- a/crates/core/src/lists/replica/confirm.rs
+++ b/crates/core/src/lists/replica/confirm.rs
@@ -1,4 +1,4 @@
-//! What hosts and domains are known to have in force.
+//! Confirmed revisions of the hosts of a domain, and reports of other domains on theirs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,33 +9,33 @@
 use crate::lists::message;
 use crate::{entity, revision, time};
 
-/// Age at which a confirmation of a host or a report of a domain no longer counts.
+/// Age after which a confirmation of a host or a report of a domain is ignored.
 const REPORT_TTL: Duration = Duration::from_secs(25);
 
-/// Whether a domain reports.
+/// Whether the reports of a domain arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DomainReach {
-    /// The domain reported lately.
+    /// The last report is recent.
     Reporting,
-    /// The domain has not reported lately: what it has in force is not known.
+    /// There is no recent report, so the revisions in force in the domain are unknown.
     Unreachable,
 }
 
-/// What a domain has in force, for the operator.
+/// Progress of a revision in a domain, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct DomainStatus {
     /// The domain.
     pub domain: entity::DomainId,
-    /// Whether it reports.
+    /// Whether its reports arrive.
     pub reach: DomainReach,
-    /// Live hosts of the domain, by its last report.
+    /// Number of live hosts of the domain, from its last report.
     pub hosts: u32,
-    /// Hosts that confirmed the revision asked for or a later one, by its last report.
+    /// Number of hosts that confirmed the requested revision or a later one, from its last report.
     pub confirmed: u32,
 }
 
-/// A report and the time at which it was true.
+/// A report and the time at which it was made.
 #[derive(Clone, Debug)]
 struct TimedReport {
     report: message::DomainReport,
@@ -45,14 +45,15 @@
 /// Confirmations of the hosts of one domain and reports of all domains.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Confirmations {
-    /// Last revision that each host of the domain announced, and when. Bounded by the view.
+    /// Last revision that each host of the domain announced, and the time of the announcement.
+    /// Bounded by the view.
     hosts: BTreeMap<entity::HostId, (revision::Revision, time::Time)>,
     /// Last report of each other domain. Bounded by the number of domains in the view.
     domains: BTreeMap<entity::DomainId, TimedReport>,
 }
 
 impl Confirmations {
-    /// Notes that a host has a revision in force.
+    /// Records that a host of the domain has a revision in force.
     pub(super) fn record_confirmation(
         &mut self,
         now: time::Time,
@@ -65,13 +66,13 @@
         }
     }
 
-    /// Forgets hosts that left the view.
+    /// Removes hosts that are no longer in the view.
     pub(super) fn retain(&mut self, view: &View) {
         let hosts = view.hosts(view.domain());
         self.hosts.retain(|host, _| hosts.contains(host));
     }
 
-    /// Takes over the reports that are younger than those known.
+    /// Merges reports of other hosts. The youngest report of each domain is kept.
     pub(super) fn merge(&mut self, now: time::Time, reports: Vec<message::DomainReport>) {
         for report in reports.into_iter().take(entity::MAX_INDEX as usize) {
             let at = now - Duration::from_millis(u64::from(report.age_ms));
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Reports of all domains with their ages, the own domain's made from the confirmations.
+    /// Reports of all domains with their ages. Watchers make the report of their own domain from
+    /// the confirmations.
     pub(super) fn reports(&self, now: time::Time, view: &View) -> Vec<message::DomainReport> {
         let others = self.domains.values().map(|dated| message::DomainReport {
             age_ms: u32::try_from(now.since(dated.at).as_millis()).unwrap_or(u32::MAX),
@@ -99,7 +101,7 @@
         reports
     }
 
-    /// What each domain of the view and each domain that ever reported has in force.
+    /// Progress of a revision in each domain of the view and each domain that ever reported.
     pub(super) fn status(
         &self,
         now: time::Time,
@@ -128,6 +130,8 @@
         domains.into_iter().map(status).collect()
     }
 
+    /// Report of the own domain. Hosts with revisions above the smallest [`message::MAX_LEVELS`]
+    /// count for the largest of these, so that no host counts for more than it confirmed.
     fn own_report(&self, now: time::Time, view: &View) -> message::DomainReport {
         let mut levels: BTreeMap<_, u32> = BTreeMap::new();
         for (revision, at) in self.hosts.values() {
--- a/crates/core/src/lists/replica/exchange.rs
+++ b/crates/core/src/lists/replica/exchange.rs
@@ -1,4 +1,4 @@
-//! How replicas tell each other their versions and send what the other lacks.
+//! Messages between replicas: announcements, confirmations, reports and missing deltas.
 
 use std::time::Duration;
 
@@ -7,13 +7,15 @@
 use crate::lists::{Lists, Snapshot, Version};
 use crate::{entity, time};
 
-/// Period of the confirmations to the watchers of the domain.
+/// Interval of confirmations to the watchers of the domain.
 const CONFIRM_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Shortest time between two whole copies that a host sends.
+/// Minimum time between two snapshots that a host sends, to any peer.
 const MIN_SNAPSHOT_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Replica {
+    /// Announces the version in force to the next peer, and as a watcher also to the next watcher
+    /// of another domain.
     pub(super) fn send_announcements(&mut self, effects: &mut Effects) {
         self.round_robin = self.round_robin.wrapping_add(1);
         let mut send = |hosts: &[entity::HostId]| {
@@ -28,7 +30,7 @@
         }
     }
 
-    /// Tells the watchers of the domain what is in force here.
+    /// Confirms the version in force to the watchers of the domain.
     pub(super) fn send_confirmation(&mut self, now: time::Time, effects: &mut Effects) {
         self.next_confirm = now + CONFIRM_INTERVAL;
         let own = self.view.host();
@@ -39,7 +41,8 @@
         effects.extend(others.map(|host| Effect::Send(*host, Message::Announce(self.version))));
     }
 
-    /// Sends the domain reports to watchers of other domains, at doubling distances.
+    /// Sends the domain reports to one watcher of another domain, in turn, and to the other
+    /// watchers of this domain.
     pub(super) fn send_reports(&mut self, now: time::Time, effects: &mut Effects) {
         let own = self.view.host();
         self.confirmations
@@ -56,6 +59,7 @@
         effects.extend(others.map(|host| Effect::Send(*host, Message::Domains(reports.clone()))));
     }
 
+    /// Handles the version of a peer: sends it what it lacks, or fetches what this host lacks.
     pub(super) fn handle_announce(
         &mut self,
         now: time::Time,
@@ -76,6 +80,8 @@
         }
     }
 
+    /// Handles a request for what follows the version of a peer. A peer that is not behind gets an
+    /// announcement instead.
     pub(super) fn handle_fetch(
         &mut self,
         now: time::Time,
@@ -90,7 +96,8 @@
         }
     }
 
-    /// Sends what a peer lacks.
+    /// Sends a peer the deltas after its version, or a snapshot if the log does not have them. The
+    /// snapshot is skipped if another one was sent less than [`MIN_SNAPSHOT_INTERVAL`] ago.
     pub(super) fn send_missing(
         &mut self,
         now: time::Time,
@@ -110,7 +117,7 @@
         }
     }
 
-    /// Asks a peer for what this host lacks, one peer at a time.
+    /// Fetches what this host lacks from a peer, unless another fetch is pending.
     pub(super) fn fetch_from(
         &mut self,
         now: time::Time,
@@ -126,7 +133,7 @@
         }
     }
 
-    /// Passes a message on to the peers, but not back.
+    /// Sends a message to all peers except the one that it came from.
     pub(super) fn forward_to_peers(
         &self,
         from: Option<entity::HostId>,
--- a/crates/core/src/lists/replica/log.rs
+++ b/crates/core/src/lists/replica/log.rs
@@ -1,13 +1,13 @@
-//! Recent deltas, kept to bring peers up to date.
+//! Log of recent deltas, from which peers that are behind catch up.
 
 use std::collections::VecDeque;
 
 use crate::lists::{Delta, Version};
 
-/// Most deltas that are kept.
+/// Maximum number of deltas in the log.
 const MAX_DELTAS: usize = 64;
 
-/// Most changes in the deltas that are kept.
+/// Maximum number of changes in all deltas of the log.
 const MAX_CHANGES: usize = 1_024;
 
 /// Consecutive deltas that end at the version in force.
@@ -15,11 +15,12 @@
 pub(super) struct DeltaLog {
     /// Invariant: each delta starts where the one before it ends.
     deltas: VecDeque<Delta>,
-    /// Changes in all deltas.
+    /// Number of changes in all deltas.
     changes: usize,
 }
 
 impl DeltaLog {
+    /// Appends a delta and evicts the oldest ones above the limits.
     pub(super) fn push(&mut self, delta: Delta) {
         self.changes += delta.changes.len();
         self.deltas.push_back(delta);
@@ -36,7 +37,7 @@
         self.changes = 0;
     }
 
-    /// The deltas that follow a version, or `None` if they are not all kept.
+    /// The deltas that follow a version, or `None` if the log does not have all of them.
     pub(super) fn after(&self, version: Version) -> Option<Vec<Delta>> {
         let first = self.deltas.iter().position(|delta| delta.from == version)?;
         Some(self.deltas.iter().skip(first).cloned().collect())
--- a/crates/core/src/lists/replica/mod.rs
+++ b/crates/core/src/lists/replica/mod.rs
@@ -1,17 +1,19 @@
-//! Distribution of the two lists to every host.
+//! Replication of the two lists to every host.
 //!
-//! Each host holds a [`Replica`]. Two hosts of each domain, the watchers, hold a watch on the
-//! store. A host that learns of a delta pushes it at once to a few peers of its domain, chosen so
-//! that the domain is crossed in a logarithmic number of hops. Once a second each host announces
-//! its version to one peer, and watchers also to a watcher of another domain; whichever of the
-//! two is behind gets the deltas that it lacks, or the whole lists if it is too far behind.
+//! Each host has a [`Replica`]. Two hosts of each domain, the watchers, watch the store. A host
+//! that receives a new delta forwards it at once to a few peers of its domain, which are selected
+//! such that a delta reaches the whole domain in a logarithmic number of hops. Once a second, each
+//! host announces its version to one peer (anti-entropy), and watchers also to a watcher of another
+//! domain. Whichever of the two is behind gets the deltas that it lacks, or a snapshot if the other
+//! no longer has them.
 //!
-//! Versions are totally ordered and a replica only moves to a larger one, so that messages may be
-//! lost, repeated, late or out of order. A store that was restored from an older copy is behind
-//! the replicas; once this has lasted, a watcher writes the lists back under a new revision.
+//! Versions are totally ordered and a replica only changes to a larger one, so that messages may be
+//! lost, duplicated, delayed or reordered. A store that was restored from an older backup is behind
+//! the replicas. If this lasts, a watcher repairs the store: it writes the lists back at a new
+//! revision.
 //!
-//! A host that starts asks the store and several peers, takes the largest version, and is ready
-//! only when it has one.
+//! A starting host queries the store and several peers, adopts the largest version, and is ready
+//! only once it has one.
 
 mod confirm;
 mod exchange;
--- a/crates/core/src/lists/replica/start.rs
+++ b/crates/core/src/lists/replica/start.rs
@@ -1,4 +1,4 @@
-//! How a replica starts: it asks the store and several peers and takes the largest version.
+//! Start of a replica: it queries the store and several peers, and adopts the largest version.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,30 +10,32 @@
 use crate::lists::message::Message;
 use crate::{entity, time};
 
-/// Longest wait of a starting host for the sources that have not answered.
+/// Time that a starting host waits for the store and the peers before it queries them again, or
+/// starts without those that have not answered.
 const SOURCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest wait of a starting host for a version that was announced and cannot be fetched.
+/// Time after which a starting host no longer waits for a version that was announced but could not
+/// be fetched.
 const START_DEADLINE: Duration = Duration::from_secs(10);
 
-/// Peers that a starting host asks at once.
+/// Number of peers that a starting host queries at once.
 const START_PEERS: usize = 4;
 
-/// Whom a starting host still waits for.
+/// Progress of the start.
 #[derive(Clone, Debug)]
 pub(super) struct Starting {
-    /// When the host started.
+    /// Time of the start.
     pub(super) started: time::Time,
-    /// When the sources were last asked.
+    /// Time of the last queries.
     pub(super) asked_at: time::Time,
-    /// Peers that were asked and have not answered.
+    /// Peers that were queried and have not answered.
     pub(super) pending_peers: SmallVec<[entity::HostId; START_PEERS]>,
-    /// Whether the store has answered, and had lists or none.
+    /// Whether the store has answered, with or without lists.
     pub(super) store_answered: bool,
 }
 
 impl Replica {
-    /// Asks again when the sources have not answered in time.
+    /// After [`SOURCE_TIMEOUT`], ends the start if possible or repeats the queries.
     pub(super) fn tick_start(&mut self, now: time::Time, effects: &mut Effects) {
         let waited = |starting: &Starting| now.since(starting.asked_at) >= SOURCE_TIMEOUT;
         if !self.starting.as_ref().is_some_and(waited) {
@@ -45,7 +47,8 @@
         }
     }
 
-    /// Asks the store and a few peers for their lists.
+    /// Queries the store, unless it has answered before, and up to [`START_PEERS`] peers, one of
+    /// them a watcher of another domain. Each round starts with the next peer.
     pub(super) fn query_sources(&mut self, now: time::Time, effects: &mut Effects) {
         let local = self.view.peers();
         let remote = self.view.remote_watchers();
@@ -81,6 +84,7 @@
         });
     }
 
+    /// Records an answer of the store.
     pub(super) fn store_answered(&mut self, now: time::Time, effects: &mut Effects) {
         if let Some(starting) = &mut self.starting {
             starting.store_answered = true;
@@ -88,6 +92,7 @@
         self.finish_start_if_ready(now, effects);
     }
 
+    /// Records an answer of a peer.
     pub(super) fn peer_answered(
         &mut self,
         now: time::Time,
@@ -100,7 +105,9 @@
         self.finish_start_if_ready(now, effects);
     }
 
-    /// Ends the start when the sources have answered, or when one has and the wait is over.
+    /// Ends the start if the replica has the largest version that was announced (or
+    /// [`START_DEADLINE`] is over), and either all sources have answered, or [`SOURCE_TIMEOUT`] is
+    /// over and the store or a peer with lists has answered.
     pub(super) fn finish_start_if_ready(&mut self, now: time::Time, effects: &mut Effects) {
         let Some(starting) = &self.starting else {
             return;
--- a/crates/core/src/lists/replica/state.rs
+++ b/crates/core/src/lists/replica/state.rs
@@ -13,43 +13,44 @@
 use crate::lists::{Delta, Lists, Snapshot, Version};
 use crate::{entity, revision, time};
 
-/// Period of the announcements to one peer.
+/// Interval of announcements to one peer.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Period of the domain reports between watchers.
+/// Interval of domain reports between watchers.
 const REPORT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Period at which a watcher compares its version with the store.
+/// Interval at which a watcher compares its version with the store.
 const STORE_READ_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time after which an unanswered request to a peer or the store counts as lost.
+/// Time after which a fetch from a peer that was not answered counts as lost.
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time after which a version that nobody announces any more is no longer waited for.
+/// Time after which a version that no host announces any more is no longer waited for.
 const HIGHEST_VERSION_TTL: Duration = Duration::from_secs(60);
 
-/// Time for which the store must be behind before its lists are written back.
+/// Time for which the store must be behind at the same version before it is repaired.
 const REPAIR_DELAY: Duration = Duration::from_secs(12);
 
-/// What the replica asks its surroundings to do.
+/// Action that the caller of the state machine has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send a message to a host.
     Send(entity::HostId, Message),
     /// Read the lists from the store and pass the answer to [`Replica::handle_store_answer`].
     ReadStore,
-    /// Pass each later delta of the store's history to [`Replica::handle_recorded_delta`], until told not to.
+    /// Watch the history in the store and pass each later delta to
+    /// [`Replica::handle_recorded_delta`], until [`Effect::Unwatch`].
     Watch,
     /// End the watch.
     Unwatch,
     /// The lists in force have changed.
     InForce(Version, Arc<Lists>),
-    /// Write the lists to the store if it still has the stated version, and pass the delta to
-    /// [`Replica::handle_recorded_delta`].
+    /// Write the lists to the store if it still has the expected version. After success, pass the
+    /// delta to [`Replica::handle_recorded_delta`].
     Repair {
         /// Version that the store must still have.
         expected: Version,
-        /// Delta without changes that ends at the version to write.
+        /// Delta without changes that leads to the version to write.
         delta: Delta,
         /// The lists to write.
         lists: Arc<Lists>,
@@ -59,10 +60,10 @@
 /// Effects of one event.
 pub type Effects = SmallVec<[Effect; 8]>;
 
-/// What a read of the store gave.
+/// Result of a read of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreAnswer {
-    /// The lists in the store. A store without lists gives [`Version::NONE`].
+    /// The lists in the store. Their version is [`Version::NONE`] if the store has none.
     Lists(Snapshot),
     /// The store has the version that the replica has.
     Same,
@@ -74,18 +75,19 @@
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(super) view: View,
-    /// Version in force. Never goes down.
+    /// Version in force. Never decreases.
     pub(super) version: Version,
     pub(super) lists: Arc<Lists>,
     pub(super) log: DeltaLog,
-    /// Largest version that anyone announced, and when it was last heard of.
+    /// Largest version that was announced, and the time of its last announcement.
     pub(super) highest_announced: (Version, time::Time),
     pub(super) starting: Option<Starting>,
-    /// Peer that was asked for deltas, and when.
+    /// Peer of the last fetch that is not answered yet, and the time of the fetch.
     pub(super) pending_fetch: Option<(entity::HostId, time::Time)>,
-    /// Since when the store is known to be behind, and with which version.
+    /// Time since which the store has been behind at the same version, and this version.
     pub(super) store_behind_since: Option<(time::Time, Version)>,
     pub(super) watching: bool,
+    /// Counter that selects the next peer.
     pub(super) round_robin: usize,
     pub(super) next_announce: time::Time,
     pub(super) next_confirm: time::Time,
@@ -122,7 +124,7 @@
         (replica, effects)
     }
 
-    /// Whether the host may serve: it has taken over the largest version of its sources.
+    /// Whether the start is complete, so that the host may serve.
     #[must_use]
     pub const fn is_ready(&self) -> bool {
         self.starting.is_none()
@@ -140,27 +142,27 @@
         &self.lists
     }
 
-    /// Largest version that is known to exist. An edit of a store that has a smaller one waits
-    /// until the store has been brought up to date.
+    /// Largest version that was announced or is in force. A store with a smaller version is not
+    /// edited before it has been repaired.
     #[must_use]
     pub fn highest_version(&self) -> Version {
         self.highest_announced.0.max(self.version)
     }
 
-    /// The announcement to carry on a probe.
+    /// The announcement to piggyback on a membership probe.
     #[must_use]
     pub const fn announcement(&self) -> Message {
         Message::Announce(self.version)
     }
 
-    /// What each domain has in force of a revision. Only watchers know of other domains at all
-    /// times; another host first sends [`Message::AskDomains`] to a watcher.
+    /// Progress of a revision in each domain. Only watchers have the reports of other domains at
+    /// all times; another host first requests them with [`Replica::ask_domains`].
     #[must_use]
     pub fn status(&self, now: time::Time, revision: revision::Revision) -> Vec<DomainStatus> {
         self.confirmations.status(now, &self.view, revision)
     }
 
-    /// Asks a watcher of the domain for its reports, unless this host is one.
+    /// Requests the reports of the watchers of the domain, unless this host is one.
     #[must_use]
     pub fn ask_domains(&self) -> Effects {
         if self.view.is_watcher() {
@@ -172,7 +174,7 @@
             .collect()
     }
 
-    /// Takes over a new view of the live hosts.
+    /// Replaces the view of the live hosts.
     pub fn set_view(&mut self, now: time::Time, view: View) -> Effects {
         let mut effects = Effects::new();
         self.view = view;
@@ -182,7 +184,7 @@
         effects
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: time::Time) -> Effects {
         let mut effects = Effects::new();
         if now.since(self.highest_announced.1) >= HIGHEST_VERSION_TTL {
@@ -208,7 +210,7 @@
         effects
     }
 
-    /// Takes a message from another host.
+    /// Handles a message from another host.
     pub fn handle_message(
         &mut self,
         now: time::Time,
@@ -232,7 +234,7 @@
         effects
     }
 
-    /// Takes the answer to [`Effect::ReadStore`].
+    /// Handles the answer to [`Effect::ReadStore`].
     pub fn handle_store_answer(&mut self, now: time::Time, answer: StoreAnswer) -> Effects {
         let mut effects = Effects::new();
         match answer {
@@ -254,7 +256,7 @@
         effects
     }
 
-    /// Takes a delta that the store has recorded, from the watch or from an edit of this host.
+    /// Handles a delta that the store has recorded, from the watch or from an edit of this host.
     pub fn handle_recorded_delta(&mut self, now: time::Time, delta: Delta) -> Effects {
         let mut effects = Effects::new();
         self.apply_deltas(now, None, vec![delta], &mut effects);
@@ -275,7 +277,7 @@
         }
     }
 
-    /// Starts or ends the watch when the host has become a watcher or is one no more.
+    /// Starts or ends the watch when the host has become a watcher or has ceased to be one.
     fn update_watch(&mut self, effects: &mut Effects) {
         let watcher = self.view.is_watcher();
         if watcher != self.watching {
@@ -288,12 +290,14 @@
         }
     }
 
+    /// Records that a version exists.
     pub(super) fn observe_version(&mut self, now: time::Time, version: Version) {
         if version >= self.highest_announced.0 {
             self.highest_announced = (version, now);
         }
     }
 
+    /// Applies the deltas that continue the version in force, and forwards them.
     fn apply_deltas(
         &mut self,
         now: time::Time,
@@ -325,6 +329,7 @@
         }
     }
 
+    /// Replaces the lists by a snapshot with a larger version, and announces it to the peers.
     fn apply_snapshot(
         &mut self,
         now: time::Time,
@@ -345,7 +350,7 @@
         }
     }
 
-    /// Follows up a move to a larger version.
+    /// Reports and confirms a larger version in force, once the start is complete.
     pub(super) fn version_changed(&mut self, now: time::Time, effects: &mut Effects) {
         self.pending_fetch = None;
         if self.is_ready() {
@@ -354,7 +359,8 @@
         }
     }
 
-    /// Writes the lists back once the store has been behind for long enough.
+    /// Repairs the store once it has been behind for [`REPAIR_DELAY`]. Only the first watcher of a
+    /// domain does so, and only with the largest version that was announced.
     fn repair_if_due(&mut self, now: time::Time, stored: Version, effects: &mut Effects) {
         let known = self
             .store_behind_since
--- a/crates/core/src/lists/replica/view.rs
+++ b/crates/core/src/lists/replica/view.rs
@@ -1,4 +1,4 @@
-//! The hosts that a replica exchanges messages with.
+//! The live hosts, and which of them a replica exchanges messages with.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,20 @@
 
 use crate::entity;
 
-/// Watchers of the store in a domain.
+/// Number of hosts of each domain that watch the store.
 const WATCHERS_PER_DOMAIN: usize = 2;
 
-/// Live hosts by failure domain, as one host sees them.
+/// Live hosts by failure domain, from the view of one host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
     host: entity::HostId,
     domain: entity::DomainId,
-    /// Hosts of each domain in the order of their ids, this host among them.
+    /// Hosts of each domain, including this host, in the order of their ids.
     domains: BTreeMap<entity::DomainId, Vec<entity::HostId>>,
 }
 
 impl View {
-    /// Makes the view of a host. The host counts as live in its own domain.
+    /// Creates the view of a host, which itself always counts as live.
     #[must_use]
     pub fn new<I>(host: entity::HostId, domain: entity::DomainId, hosts: I) -> Self
     where
@@ -40,13 +40,13 @@
         }
     }
 
-    /// The host whose view this is.
+    /// The host that the view belongs to.
     #[must_use]
     pub const fn host(&self) -> entity::HostId {
         self.host
     }
 
-    /// Its domain.
+    /// Domain of that host.
     #[must_use]
     pub const fn domain(&self) -> entity::DomainId {
         self.domain
@@ -82,8 +82,9 @@
         self.hosts(self.domain).first() == Some(&self.host)
     }
 
-    /// Hosts of the domain at distances of powers of two in the order of ids. Any host reaches
-    /// any other over at most as many of these as the number of hosts has binary digits.
+    /// The hosts of the domain at distances of 1, 2, 4, ... in the circular order of ids. A message
+    /// reaches any host of the domain in at most as many hops as the number of hosts has binary
+    /// digits.
     #[must_use]
     pub fn peers(&self) -> SmallVec<[entity::HostId; 10]> {
         let hosts = self.hosts(self.domain);
@@ -96,7 +97,7 @@
             .collect()
     }
 
-    /// Watchers of the other domains, in an order that starts at the next domain.
+    /// Watchers of the other domains, in the circular order of domains that starts after its own.
     #[must_use]
     pub fn remote_watchers(&self) -> SmallVec<[entity::HostId; 16]> {
         let after = self.domains.keys().filter(|domain| **domain > self.domain);
--- a/crates/core/tests/lists_edit.rs
+++ b/crates/core/tests/lists_edit.rs
@@ -212,10 +212,12 @@
 
     /// The reported outcome of an edit matches the store, also after delayed writes have arrived.
     #[test]
-    fn reported_outcome_matches_the_store(outcomes in proptest::collection::vec(call_outcome(), 0..24)) {
+    fn reported_outcome_matches_the_store(
+        outcomes in proptest::collection::vec(call_outcome(), 0..24),
+    ) {
         let mut store = Store::default();
-        let mut edit =
-            Edit::new(id(7), author("ada"), 0, put("p", 3, Base::Absent), allow_all as ChangeFilter);
+        let proposals = put("p", 3, Base::Absent);
+        let mut edit = Edit::new(id(7), author("ada"), 0, proposals, allow_all as ChangeFilter);
         let outcome = run(&mut store, &mut edit, &mut outcomes.into_iter());
         let resolved = match &outcome {
             Outcome::Unresolved(edit) => Some(resolve(&mut store, *edit, id(8))),
--- a/crates/core/tests/lists_replica.rs
+++ b/crates/core/tests/lists_replica.rs
@@ -291,7 +291,9 @@
     /// is restored from older backups; a domain is partitioned. No version in force ever decreases
     /// (checked at each effect), and in the end every host has the largest one.
     #[test]
-    fn version_never_goes_down(ops in proptest::collection::vec((0_u8..100, any::<u16>()), 1..500)) {
+    fn version_never_decreases(
+        ops in proptest::collection::vec((0_u8..100, any::<u16>()), 1..500),
+    ) {
         let mut fleet = Fleet::new();
         fleet.run_without_faults(Duration::from_secs(3));
         let mut largest = Version::NONE;
