--- a/crates/core/src/limits/amount.rs
+++ b/crates/core/src/limits/amount.rs
@@ -1,4 +1,4 @@
-//! Amounts of the three things that a plan limits.
+//! Amounts of the three resources that a plan limits.
 
 use crate::units;
 
@@ -6,23 +6,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Amount {
-    /// Requests to start.
+    /// Number of requests to start.
     pub requests: units::Requests,
     /// Tokens to charge.
     pub tokens: units::Tokens,
-    /// Requests in flight.
+    /// Slots for requests in flight.
     pub slots: units::Requests,
 }
 
 impl Amount {
-    /// Nothing.
+    /// Zero of each resource.
     pub const ZERO: Self = Self {
         requests: units::Requests::ZERO,
         tokens: units::Tokens::ZERO,
         slots: units::Requests::ZERO,
     };
 
-    /// What one request with an estimated cost needs.
+    /// Amount that one request with an estimated cost needs.
     #[must_use]
     pub const fn of_request(cost: units::Tokens) -> Self {
         Self {
@@ -32,13 +32,13 @@
         }
     }
 
-    /// Whether each part is at least that of another amount.
+    /// Whether each component is at least that of another amount.
     #[must_use]
     pub fn covers(&self, other: Self) -> bool {
         self.requests >= other.requests && self.tokens >= other.tokens && self.slots >= other.slots
     }
 
-    /// The smaller of each part.
+    /// The component-wise minimum.
     #[must_use]
     pub fn min(self, other: Self) -> Self {
         Self {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The sum.
+    /// The component-wise sum.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The difference, each part at least zero.
+    /// The component-wise difference, each component at least zero.
     #[must_use]
     pub fn minus(self, other: Self) -> Self {
         Self {
--- a/crates/core/src/limits/authority.rs
+++ b/crates/core/src/limits/authority.rs
@@ -1,27 +1,27 @@
-//! When a host may use the parts of a slice.
+//! The times during which a host may use the parts of a slice.
 
 use std::time::Duration;
 
 use crate::limits::parameters;
 use crate::time;
 
-/// Span during which a host may use a part of a slice, on its own clock.
+/// Time span during which a host may use a part of a slice, on its own clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Span {
-    /// Start.
+    /// Start, inclusive.
     pub from: time::Time,
-    /// End. Not part of the span.
+    /// End, exclusive.
     pub until: time::Time,
 }
 
 impl Span {
-    /// Whether the span holds a point in time.
+    /// Whether the span contains a point in time.
     #[must_use]
     pub fn contains(&self, now: time::Time) -> bool {
         self.from <= now && now < self.until
     }
 
-    /// Length of the part of the span that lies between two points.
+    /// Length of the overlap of the span with the time between two points.
     #[must_use]
     pub fn overlap(&self, from: time::Time, to: time::Time) -> Duration {
         self.until.min(to).since(self.from.max(from))
@@ -38,7 +38,7 @@
 }
 
 impl Authority {
-    /// Quarters of the slice's rates that may be used.
+    /// Number of quarters of the slice's rates that may be used.
     #[must_use]
     pub fn quarters(&self, now: time::Time) -> u64 {
         let floor = u64::from(self.floor.contains(now)) * parameters::FLOOR_QUARTERS;
@@ -46,7 +46,7 @@
         floor + u64::from(self.elastic.contains(now)) * rest
     }
 
-    /// Quarters of the slice's rate times time between two points.
+    /// Integral, between two points in time, of the number of quarters that may be used.
     #[must_use]
     pub(super) fn quarter_time(&self, from: time::Time, to: time::Time) -> Duration {
         let floor = self.floor.overlap(from, to) * parameters::FLOOR_QUARTERS as u32;
@@ -54,8 +54,9 @@
         floor + self.elastic.overlap(from, to) * rest
     }
 
-    /// The authority over requests in flight, which starts when those that a former holder
-    /// granted have been reported again. A span from the start of time has no former holder.
+    /// The authority over requests in flight. It starts when the entry hosts have reported the
+    /// requests in flight that a previous holder granted. A span that starts at time zero has no
+    /// previous holder.
     #[must_use]
     pub fn for_slots(&self) -> Self {
         let later = |span: Span| match span.from {
--- a/crates/core/src/limits/borrower.rs
+++ b/crates/core/src/limits/borrower.rs
@@ -1,9 +1,9 @@
-//! An entry host's credit: admits requests against credit of the slices' holders.
+//! Entry host side of the limits: admits requests against credit from the holders of the slices.
 //!
-//! A request is admitted when the credit at hand covers it. Otherwise it waits, for a second at
+//! A request is admitted if the available credit covers it. Otherwise it waits for a second at
 //! most, while the host asks the holders of the account's slices in turn, those in its own domain
-//! first. When all of them are short the request is refused at once, with the time after which
-//! the first of them will have enough.
+//! first. If all of them are short of credit, the request is refused at once, with the time after
+//! which the first of them will have enough.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -15,23 +15,24 @@
 use crate::limits::{Amount, Layout, SLICES, SliceId, token_burst};
 use crate::{lists, name, reason, request, time, units};
 
-/// Longest wait of a request for credit.
+/// Maximum time for which a request waits for credit.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// Requests of one account that wait for credit.
+/// Maximum number of requests of one account that wait for credit.
 const MAX_PENDING: usize = 64;
 
-/// Accounts with state. Requests of further ones are refused until others are forgotten.
+/// Maximum number of accounts with state. Requests of further accounts are refused until the state
+/// of another one is dropped.
 const MAX_ACCOUNTS: usize = 8_192;
 
-/// Slices that are asked for one request. A saturated account would otherwise cost a message to
-/// each slice for each refusal.
+/// Maximum number of slices that are asked for one request. Otherwise each refused request of a
+/// saturated account would cost a message to each slice.
 const MAX_CREDIT_REQUESTS: usize = 3;
 
-/// Time after which an account without requests and credit is forgotten.
+/// Time after which the state of an account without requests and credit is dropped.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What an admitted request holds until it ends.
+/// Permit of an admitted request, which holds it until it ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Permit {
     /// Account that is charged.
@@ -42,18 +43,18 @@
     slice: SliceId,
 }
 
-/// What the borrower asks its surroundings to do.
+/// An action that the caller must take.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send the ask to the holder of the slice.
+    /// Send the credit request to the holder of the slice.
     Request(SliceId, CreditRequest),
     /// The request may run.
     Admitted(request::RequestId, Permit),
-    /// The request was not run.
+    /// The request is refused, and was not run.
     Refused {
         /// The request.
         request: request::RequestId,
-        /// Why.
+        /// Reason of the refusal.
         reason: reason::Refusal,
         /// Delay after which the caller may try again, or `None` if that cannot help.
         retry_after: Option<Duration>,
@@ -68,7 +69,7 @@
     request: request::RequestId,
     cost: units::Tokens,
     until: time::Time,
-    /// Slices that were asked for it.
+    /// Number of slices that were asked for it.
     slices_asked: usize,
 }
 
@@ -78,7 +79,7 @@
     /// Credit of each slice, in the order in which they are asked.
     slices: SmallVec<[SliceCredit; 8]>,
     pending: VecDeque<PendingRequest>,
-    /// Slice from which the search for credit goes on.
+    /// Index of the slice at which the next search for credit continues.
     next_slice: usize,
     used: time::Time,
 }
@@ -87,16 +88,16 @@
 #[derive(Clone, Debug)]
 pub struct Borrower {
     boot: u64,
-    /// Number of the last ask.
+    /// Number of the last credit request.
     requests_sent: u64,
-    /// Whether the slice's home domain is that of this host.
+    /// Whether the home domain of each slice is that of this host.
     local: [bool; SLICES as usize],
     accounts: BTreeMap<name::AccountName, Account>,
 }
 
 impl Borrower {
-    /// Makes the borrower of a process of a host. `local` says which slices have their home in
-    /// the host's domain.
+    /// Creates the borrower of a process of a host. `local` says for each slice whether its home
+    /// domain is that of the host.
     #[must_use]
     pub fn new(boot: u64, local: [bool; SLICES as usize]) -> Self {
         Self {
@@ -107,8 +108,8 @@
         }
     }
 
-    /// Takes a request of an account. Its admission or refusal is among the effects of this or a
-    /// later event.
+    /// Queues a request of an account. Its admission or refusal is among the effects of this or of
+    /// a later event.
     pub fn admit(
         &mut self,
         now: time::Time,
@@ -140,7 +141,8 @@
         effects
     }
 
-    /// Ends an admitted request. `used` are the tokens that were used, if known.
+    /// Ends an admitted request. `used` is the number of tokens that it used, if known; otherwise
+    /// the estimate counts.
     pub fn end_request(&mut self, now: time::Time, permit: &Permit, used: Option<units::Tokens>) {
         let Some(account) = self.accounts.get_mut(&permit.account) else {
             return;
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Takes a grant from the holder of a slice.
+    /// Handles a grant from the holder of a slice.
     pub fn handle_grant(&mut self, now: time::Time, grant: &Grant) -> Effects {
         let mut effects = Effects::new();
         let Some(account) = self.accounts.get_mut(&grant.account) else {
@@ -166,7 +168,8 @@
         effects
     }
 
-    /// Does what is due: refuses what has waited for long, and gives credit back.
+    /// Does the periodic work: refuses requests that have waited for too long, and reports to the
+    /// holders, which returns unused credit.
     pub fn tick(&mut self, now: time::Time) -> Effects {
         let mut effects = Effects::new();
         self.accounts.retain(|_, account| {
@@ -194,7 +197,7 @@
     ) -> &mut Account {
         let layout = Layout::of(name, plan);
         let local = self.local;
-        // Hosts start at different slices, so that none is left out by all.
+        // Hosts start at different slices, so that every slice is asked by some of them.
         let next_slice = xxhash_rust::xxh3::xxh3_64_with_seed(name.as_str().as_bytes(), self.boot);
         let next_slice = (next_slice % u64::from(SLICES)) as usize;
         let account = self
@@ -215,7 +218,8 @@
         account
     }
 
-    /// Admits what the credit covers, and asks for what it lacks or refuses.
+    /// Admits the pending requests that the credit covers. For the first other one, requests
+    /// credit, or refuses it if no slice can be asked.
     fn serve_pending(&mut self, now: time::Time, name: &name::AccountName, effects: &mut Effects) {
         let Some(account) = self.accounts.get_mut(name) else {
             return;
@@ -275,7 +279,8 @@
 }
 
 impl Account {
-    /// Takes the credit that one request needs and returns the slice of its slot.
+    /// Spends the credit that one request needs. Returns the slice that its slot belongs to, or
+    /// `None` if there is not enough credit.
     fn spend(&mut self, cost: units::Tokens) -> Option<SliceId> {
         let need = Amount::of_request(cost);
         let held = self.slices.iter();
@@ -295,8 +300,8 @@
         slot
     }
 
-    /// The next slice that may have credit: the first, which is local if any is, and then the
-    /// others in turn.
+    /// Returns the index of the next slice that may have credit: the first one, which is local if
+    /// any slice is, and then the others in turn.
     fn next_slice_to_ask(&mut self, now: time::Time) -> Option<usize> {
         let len = self.slices.len();
         let next_slice = self.next_slice;
@@ -309,7 +314,7 @@
         Some(next)
     }
 
-    /// Makes the ask of a slice for all that waits.
+    /// Creates the request to a slice for the credit that all pending requests need.
     fn make_request(
         &mut self,
         now: time::Time,
@@ -345,7 +350,7 @@
         Effect::Request(slice.id, request)
     }
 
-    /// Refuses a request when every slice is short.
+    /// Refuses a request, with the reason and the wait of the slice that will have credit first.
     fn refuse(&self, now: time::Time, request: request::RequestId) -> Effect {
         let shortages = self.slices.iter().filter_map(|slice| slice.shortage(now));
         let first = shortages.min_by_key(|(_, wait)| *wait);
--- a/crates/core/src/limits/bucket.rs
+++ b/crates/core/src/limits/bucket.rs
@@ -1,32 +1,33 @@
-//! Credit that one slice of an account's limits has left.
+//! Token bucket of one slice of an account's limits.
 
 use std::time::Duration;
 
 use crate::limits::{Amount, Authority, parameters};
 use crate::{lists, time};
 
-/// Billionths in a unit.
+/// Billionths per unit.
 const BILLION: i128 = parameters::BILLION as i128;
 
-/// One slice of the limits of a plan.
+/// One slice of the limits of a plan. Rates and bursts are those of the whole plan and must be
+/// divided by `slices`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SliceLimits {
-    /// Requests a minute, in `slices` parts.
+    /// Requests per minute of the plan.
     pub(super) requests_per_minute: u64,
-    /// Tokens a minute, in `slices` parts.
+    /// Tokens per minute of the plan.
     pub(super) tokens_per_minute: u64,
-    /// Requests at once, in `slices` parts.
+    /// Request burst of the plan.
     pub(super) request_burst: u64,
-    /// Tokens at once, in `slices` parts.
+    /// Token burst of the plan.
     pub(super) token_burst: u64,
-    /// Requests in flight of this slice.
+    /// Slots for requests in flight of this slice.
     pub(super) slots: u64,
     /// Number of slices.
     pub(super) slices: u64,
 }
 
 impl SliceLimits {
-    /// The slice with an index below `slices`. The slices sum up to the plan.
+    /// The slice with an index below `slices`. All slices together have the limits of the plan.
     pub(super) fn of(plan: &lists::Plan, slices: u8, index: u8) -> Self {
         let (slices, index) = (u64::from(slices), u64::from(index));
         let extra = u64::from(index < plan.in_flight.0 % slices);
@@ -46,7 +47,7 @@
         amount.tokens.0 * parts > self.token_burst * quarters
     }
 
-    /// Requests in flight that may be granted.
+    /// Slots for requests in flight that may be granted.
     pub(super) fn slots(&self, now: time::Time, authority: &Authority) -> u64 {
         let authority = authority.for_slots();
         let floor = match self.slots {
@@ -64,21 +65,23 @@
     }
 }
 
-/// Level of one rate, in billionths of a unit.
+/// Level of one token bucket, in billionths of a unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct BucketLevel {
-    /// Credit that may be granted. Negative after use beyond an estimate.
+    /// Credit that may be granted. Negative if a request used more than its estimate.
     billionths: i128,
 }
 
 impl BucketLevel {
-    /// Adds what a rate gave, up to a bound that the outstanding credit counts against.
+    /// Adds the credit that a rate per minute yields. `span` is the time multiplied by the number
+    /// of quarters in use, as [`Authority::quarter_time`] returns it. The caller caps the level
+    /// afterwards.
     pub(super) fn refill(&mut self, rate: u64, span: Duration, slices: u64) {
         let accrued = parameters::accrued(rate, span) / u128::from(slices * parameters::QUARTERS);
         self.billionths += accrued as i128;
     }
 
-    /// Cuts the level down to a bound in whole units, less what is outstanding.
+    /// Caps the level at the burst, in whole units, minus the outstanding credit.
     pub(super) fn cap(&mut self, burst: u64, quarters: u64, slices: u64, outstanding: u64) {
         let bound = u128::from(burst) * u128::from(quarters) * parameters::BILLION;
         let bound = (bound / u128::from(slices * parameters::QUARTERS)) as i128;
@@ -86,12 +89,12 @@
         self.billionths = self.billionths.min(bound - outstanding);
     }
 
-    /// Whole units that may be granted.
+    /// Number of whole units that may be granted.
     pub(super) fn units(&self) -> u64 {
         u64::try_from(self.billionths / BILLION).unwrap_or(0)
     }
 
-    /// Gives up what is left.
+    /// Discards the remaining credit. A negative level stays.
     pub(super) fn forfeit(&mut self) {
         self.billionths = self.billionths.min(0);
     }
@@ -104,7 +107,7 @@
         self.billionths -= i128::from(units) * BILLION;
     }
 
-    /// Time until the level holds so many units, at a rate in units a minute.
+    /// Time until the level reaches a number of units, at a rate in units per minute.
     pub(super) fn time_until(&self, units: u64, rate: u64, slices: u64, quarters: u64) -> Duration {
         let missing = i128::from(units) * BILLION - self.billionths;
         let missing = u128::try_from(missing).unwrap_or(0);
--- a/crates/core/src/limits/claims.rs
+++ b/crates/core/src/limits/claims.rs
@@ -1,9 +1,10 @@
-//! Who holds the slices: the table in the key-value service and a host's claims on it.
+//! Leases of the slices: the table in the key-value service and a host's claims in it.
 //!
 //! The table has one value for each shard. A host that should hold a slice, by its view of the
-//! live hosts, takes it over from a host that is not live, or from one that has given it up. All
-//! that exclusion rests on is the compare-and-swap of the value, the leases that each holder
-//! counts on its own clock, and the wait of the next holder; a wrong view costs use, never safety.
+//! live hosts, takes it over from a host that is not live or that has surrendered it. Mutual
+//! exclusion depends only on the compare-and-swap of the value, the leases that each holder counts
+//! on its own clock, and the wait of the next holder. A wrong view of the live hosts can leave
+//! credit unused, but never violates exclusion.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,16 +15,18 @@
 /// Prefix of the keys of the table.
 pub const PREFIX: &str = "/pistachiochute/limits/";
 
-/// Period at which a holder reads the values of its shards.
+/// Interval at which a holder reads the values of its shards, which renews its leases.
 const RENEW_INTERVAL: Duration = Duration::from_secs(15);
 
-/// Period at which a host reads the values of shards with slices that it should hold and does not.
+/// Interval at which a host reads the values of shards with slices that it should hold but does
+/// not.
 const ACQUIRE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Time for which a holder must be missing from the view before its slices are taken over.
+/// Time for which a holder must be missing from the view before the elastic parts of its slices
+/// are taken over.
 const TAKEOVER_DELAY: Duration = Duration::from_secs(10);
 
-/// A process of a host that holds a part of a slice.
+/// The process of a host that holds a part of a slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Holder {
@@ -37,27 +40,27 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Part {
-    /// The holder, or `None` if it was given up or never held.
+    /// The holder, or `None` if the part was surrendered or never held.
     pub holder: Option<Holder>,
-    /// What the holder must wait for.
+    /// The previous holder, which determines how long the holder must wait.
     #[serde(rename = "after")]
     pub predecessor: Predecessor,
 }
 
-/// What the holder of a part follows.
+/// The kind of previous holder of a part.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Predecessor {
-    /// Nobody.
+    /// There was no previous holder.
     #[default]
     Nobody,
-    /// A holder that gave the part up and granted nothing since.
+    /// It surrendered the part and has granted nothing since.
     Surrender,
-    /// A holder that may still use the part until its lease lapses.
+    /// It may still use the part until its lease expires.
     Lease,
 }
 
-/// A slice in the table.
+/// Row of the table for one slice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
@@ -67,7 +70,7 @@
     pub floor: Part,
 }
 
-/// Value of one shard in the table.
+/// Value of the table for one shard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Shard {
@@ -81,28 +84,31 @@
     format!("{PREFIX}{shard:02}")
 }
 
-/// The same for floors, whose next holder has to wait for hours. A domain that is cut off for less
-/// keeps its floors.
+/// Time for which a holder must be missing from the view before the floors of its slices are taken
+/// over. The next holder of a floor must wait for hours, so a domain that is cut off for a shorter
+/// time keeps its floors.
 const FLOOR_TAKEOVER_DELAY: Duration = Duration::from_secs(1800);
 
-/// What a host claims.
+/// Spans during which this host may use the parts of a slice.
 #[derive(Clone, Copy, Debug, Default)]
 struct Claim {
     elastic: Option<Span>,
     floor: Option<Span>,
 }
 
-/// Number by which the store tells writes of a shard's value apart; zero if there is none.
+/// Version of a shard's value in the store, which a compare-and-swap checks; zero if there is no
+/// value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CasVersion(pub u64);
 
-/// What the claims ask their surroundings to do.
+/// An action that the caller must take.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Read the value of a shard, and pass it to [`Claims::handle_read`] with the time of sending.
+    /// Read the value of a shard, and pass it to [`Claims::handle_read`] with the time at which
+    /// the read was sent.
     Read(u8),
-    /// Write the value of a shard if it still has the guard, and read it again, whatever the
-    /// answer is.
+    /// Write the value of a shard if it still has the given version, and read it again, whatever
+    /// the answer to the write is.
     Write(u8, CasVersion, Box<Shard>),
 }
 
@@ -110,27 +116,28 @@
 #[derive(Clone, Debug)]
 pub struct Claims {
     own: Holder,
-    /// Live hosts with their domains, in the order of ids.
+    /// Live hosts with their domains, sorted by id.
     hosts: Vec<(entity::HostId, entity::DomainId)>,
     domains: Vec<entity::DomainId>,
-    /// Since when a host that holds a slice is missing from the view. Bounded by the table.
+    /// Time since which a host that holds a slice has been missing from the view. Bounded by the
+    /// size of the table.
     missing_since: BTreeMap<entity::HostId, time::Time>,
     /// When the store last answered a read.
     last_answer: time::Time,
     /// Slices that this host should hold, by its view.
     assigned: Vec<SliceId>,
     claims: BTreeMap<SliceId, Claim>,
-    /// Slices that a write gives up which may still take effect, with the guard of the write.
-    /// They are not used before the guard has moved.
+    /// Slices that a pending write surrenders, with the version that the write expects. As the
+    /// write may still take effect, they are not used before the version has changed.
     surrendering: BTreeMap<SliceId, CasVersion>,
     next_read: [time::Time; SHARDS as usize],
-    /// CasVersion of the last answer of each shard, and when it came.
+    /// Version in the last answer for each shard, and when the answer arrived.
     latest: [(CasVersion, time::Time); SHARDS as usize],
     draining: bool,
 }
 
 impl Claims {
-    /// Makes the claims of a process of a host. `domains` are all failure domains, live or not.
+    /// Creates the claims of a process of a host. `domains` are all failure domains, live or not.
     #[must_use]
     pub fn new(host: entity::HostId, boot: u64, domains: Vec<entity::DomainId>) -> Self {
         Self {
@@ -148,7 +155,7 @@
         }
     }
 
-    /// Takes over a new view of the live hosts.
+    /// Replaces the view of the live hosts.
     pub fn set_hosts(&mut self, now: time::Time, hosts: Vec<(entity::HostId, entity::DomainId)>) {
         let gone = self.hosts.iter().filter(|host| !hosts.contains(host));
         for (host, _) in gone {
@@ -168,7 +175,8 @@
         self.missing_since.retain(|host, _| !live(host));
     }
 
-    /// Host that should hold a slice, by the view. A host that lacks credit asks it first.
+    /// The host that should hold a slice, by this host's view. A host that lacks credit asks it
+    /// first.
     #[must_use]
     pub fn preferred_holder(&self, id: SliceId) -> Option<entity::HostId> {
         id.preferred_holder(&self.hosts, &self.domains)
@@ -184,12 +192,12 @@
         }
     }
 
-    /// Slices of which this host holds a part.
+    /// Slices that this host holds at least in part.
     pub fn held(&self) -> impl Iterator<Item = SliceId> {
         self.claims.keys().copied()
     }
 
-    /// Reads the shards that are due.
+    /// Returns the reads of the shards that are due.
     pub fn tick(&mut self, now: time::Time) -> Vec<Effect> {
         let mut effects = Vec::new();
         for shard in 0..SHARDS {
@@ -211,8 +219,8 @@
         effects
     }
 
-    /// Takes the value of a shard that was read. `sent` is the time at which the read was sent;
-    /// `now` is not before the answer came.
+    /// Handles the value of a shard that was read. `sent` is the time at which the read was sent,
+    /// and `now` must not be before the arrival of the answer.
     pub fn handle_read(
         &mut self,
         sent: time::Time,
@@ -222,13 +230,13 @@
         value: &Shard,
     ) -> Vec<Effect> {
         if now.since(self.last_answer) > 2 * RENEW_INTERVAL {
-            // This host may have been the one that was cut off: its view may be as old.
+            // This host itself may have been cut off, so its view may be equally out of date.
             self.missing_since.clear();
         }
         self.last_answer = now;
         let (latest, at) = self.latest[usize::from(shard)];
         if version < latest && sent <= at {
-            // An answer that was overtaken by one to a later state.
+            // The answer was overtaken by one with a later version.
             return Vec::new();
         }
         self.latest[usize::from(shard)] = (version, now);
@@ -254,7 +262,7 @@
                 &row.floor,
                 parameters::FLOOR_LEASE,
             );
-            // A holder that gives a part up while it still waits passes its own wait on.
+            // A holder that surrenders a part while it is still waiting passes its wait on.
             let active = |span: Option<Span>| span.is_some_and(|span| span.from <= now);
             let active = [claim.elastic, claim.floor].map(active);
             if claim.elastic.is_none() && claim.floor.is_none() {
@@ -263,7 +271,7 @@
             let surrendering = self.surrendering.contains_key(&id);
             let wanted = self.assigned.contains(&id) && !self.draining && !surrendering;
             let holds = [row.elastic, row.floor].map(|part| part.holder == Some(self.own));
-            // A part that is still being waited for is kept: its next holder would wait again.
+            // A part whose wait is not over is kept: its next holder would have to wait again.
             let may_keep = !self.draining && !surrendering;
             let keep = [0, 1].map(|i| wanted || (holds[i] && !active[i] && may_keep));
             if (holds[0] && !keep[0]) || (holds[1] && !keep[1]) {
@@ -291,7 +299,8 @@
         vec![Effect::Write(shard, version, Box::new(next))]
     }
 
-    /// Gives up every slice before the process ends. The host grants nothing from now on.
+    /// Surrenders every slice before the process exits. The host must not grant anything from now
+    /// on.
     pub fn drain(&mut self) -> Vec<Effect> {
         self.draining = true;
         let mut shards: Vec<_> = self.claims.keys().map(|id| id.shard).collect();
@@ -299,7 +308,7 @@
         shards.into_iter().map(Effect::Read).collect()
     }
 
-    /// Takes a part over, or gives it up to the host that should hold it.
+    /// Takes a part over, or surrenders it to the host that should hold it.
     fn transfer_part(
         &mut self,
         now: time::Time,
@@ -324,8 +333,8 @@
         }
     }
 
-    /// Whether a holder has been missing from the view for long, or is a former process of this
-    /// host.
+    /// Whether a holder has been missing from the view for the time `missing`, or is an earlier
+    /// process of this host.
     fn is_gone(&mut self, now: time::Time, holder: Holder, missing: Duration) -> bool {
         if holder.host == self.own.host {
             return holder.boot < self.own.boot;
@@ -338,7 +347,7 @@
     }
 }
 
-/// Extends the span of a part that the host holds, or ends it.
+/// Extends the span of a part if the host holds the part, or ends the span.
 fn renew_span(
     span: &mut Option<Span>,
     own: Holder,
--- a/crates/core/src/limits/layout.rs
+++ b/crates/core/src/limits/layout.rs
@@ -1,12 +1,12 @@
-//! Which slices hold the limits of an account.
+//! Assignment of accounts to slices.
 
 use crate::limits::parameters;
 use crate::{entity, lists, name};
 
-/// Slices into which the limits of a plan are shared at most.
+/// Maximum number of slices into which the limits of a plan are divided.
 pub const SLICES: u8 = 8;
 
-/// Groups of accounts whose slices change hands together.
+/// Number of shards. The slices of all accounts of a shard move between hosts together.
 pub const SHARDS: u8 = 32;
 
 /// A slice of the limits of all accounts of a shard.
@@ -27,8 +27,8 @@
         (0..SHARDS).flat_map(|shard| (0..SLICES).map(move |slice| Self { shard, slice }))
     }
 
-    /// The host that should hold the slice: one of the slice's home domain if any is live, and
-    /// the same for all hosts that have the same view of the live hosts.
+    /// The host that should hold the slice, by rendezvous hashing: a host of the slice's home
+    /// domain if any is live. Hosts with the same view of the live hosts agree on it.
     #[must_use]
     pub fn preferred_holder(
         self,
@@ -54,22 +54,22 @@
     }
 }
 
-/// The slices that hold the limits of one account.
+/// The slices into which the limits of one account are divided.
 ///
-/// Each is large enough for [`parameters::MIN_BURST_REQUESTS`] of the largest requests at once, so that
-/// its floor can start one; an account with small limits has fewer slices.
+/// Each slice is large enough for [`parameters::MIN_BURST_REQUESTS`] of the largest requests at
+/// once, so that its floor can start one. An account with small limits has fewer slices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Layout {
     /// Shard of the account.
     pub shard: u8,
     /// Number of slices, 1 to [`SLICES`].
     pub slices: u8,
-    /// First slice; the others follow it in a circle.
+    /// First slice. The others follow it, modulo [`SLICES`].
     first: u8,
 }
 
 impl Layout {
-    /// Slices of an account that holds a plan.
+    /// The layout of an account with a plan.
     #[must_use]
     pub fn of(account: &name::AccountName, plan: &lists::Plan) -> Self {
         let hash = xxhash_rust::xxh3::xxh3_64(account.as_str().as_bytes());
--- a/crates/core/src/limits/lender.rs
+++ b/crates/core/src/limits/lender.rs
@@ -1,8 +1,8 @@
-//! The holder of slices: grants short-lived credit to entry hosts.
+//! Holder side of the limits: grants short-lived credit of its slices to entry hosts.
 //!
-//! For each account the credit that is left and the credit that is outstanding together never
-//! exceed the slice's burst, and only the rate of the slice adds to them. So over any window the
-//! entry hosts start at most what the rate gives and one burst, whatever messages are lost,
+//! For each account, the available and the outstanding credit together never exceed the burst of
+//! the slice, and only the rate of the slice adds to them. So over any window of time, the entry
+//! hosts spend at most the credit that the rate yields plus one burst, even if messages are lost,
 //! repeated or late.
 
 use std::collections::BTreeMap;
@@ -14,16 +14,17 @@
 use crate::limits::{Amount, Authority, Layout, parameters};
 use crate::{entity, lists, name, time, units};
 
-/// Grants to one entry host that it has not reported as seen. More are refused.
+/// Maximum number of grants to one entry host that it has not acknowledged. More are refused.
 const MAX_UNSEEN: usize = 4;
 
-/// Accounts with state in one lender. More are refused until others are forgotten.
+/// Maximum number of accounts with state. More are refused until the state of another one is
+/// dropped.
 const MAX_ACCOUNTS: usize = 8_192;
 
 /// A slice of one account.
 type Key = (name::AccountName, u8);
 
-/// A grant that the entry host has not reported as seen.
+/// A grant that the entry host has not acknowledged.
 #[derive(Clone, Copy, Debug)]
 struct UnseenGrant {
     number: u64,
@@ -31,23 +32,23 @@
     granted: time::Time,
 }
 
-/// Credit of one entry host.
+/// Outstanding credit of one entry host.
 #[derive(Clone, Debug, Default)]
 struct HostCredit {
     boot: u64,
-    /// Number of the last ask.
+    /// Number of the last request.
     last_request: u64,
     /// Number of the last grant.
     last_grant: u64,
-    /// Credit that the entry host reported to hold.
+    /// Credit that the entry host last reported as held.
     held: Amount,
-    /// When it reported this.
+    /// When it reported it.
     reported: time::Time,
     unseen: SmallVec<[UnseenGrant; MAX_UNSEEN]>,
 }
 
 impl HostCredit {
-    /// Forgets credit that can no longer be spent.
+    /// Drops expired credit, which can no longer be spent.
     fn expire(&mut self, now: time::Time) {
         let credit = parameters::with_skew_margin(parameters::CREDIT_TTL);
         let slots = parameters::with_skew_margin(parameters::SLOT_LEASE);
@@ -77,7 +78,7 @@
             .fold(self.held, |sum, unseen| sum.plus(unseen.amount))
     }
 
-    /// Takes over what an ask reports. Returns the credit that was given back.
+    /// Applies the report in a request. Returns the credit that was returned.
     fn apply_report(&mut self, now: time::Time, request: &CreditRequest) -> Amount {
         let mut seen = self.held;
         self.unseen.retain(|unseen| {
@@ -88,7 +89,7 @@
             !is_seen
         });
         let released = request.released.min(seen.minus(request.held));
-        // Requests in flight may have been granted by a former holder of the slice.
+        // A previous holder of the slice may have granted the slots of requests in flight.
         self.held = Amount {
             slots: request.held.slots,
             ..request.held.min(seen)
@@ -103,9 +104,9 @@
 struct Account {
     requests: BucketLevel,
     tokens: BucketLevel,
-    /// Time up to which the levels have been refilled.
+    /// Time up to which the buckets have been refilled.
     refilled: time::Time,
-    /// Starts of the spans of authority that the levels were earned in.
+    /// Starts of the spans of authority in which the credit of the buckets accrued.
     starts: [time::Time; 2],
     /// Credit by entry host. Bounded by the hosts of the fleet.
     outstanding: BTreeMap<entity::HostId, HostCredit>,
@@ -136,7 +137,7 @@
     fn refill(&mut self, now: time::Time, slice: &SliceLimits, authority: &Authority) {
         let starts = [authority.elastic.from, authority.floor.from];
         if starts != self.starts {
-            // Another host may have used the slice in between.
+            // Another host may have used the slice in the meantime.
             self.starts = starts;
             self.requests.forfeit();
             self.tokens.forfeit();
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Whether more than half of the slice is used up, so that what is given back matters.
+    /// Whether more than half of the slice is used up, so that returned credit matters.
     fn is_scarce(&self, now: time::Time, slice: &SliceLimits, authority: &Authority) -> bool {
         let available = self.available(now, slice, authority);
         let parts = slice.slices * parameters::QUARTERS;
@@ -186,7 +187,7 @@
             || available.slots.0 < slice.slots / 2
     }
 
-    /// Why less than was wanted is available.
+    /// Returns why the available credit does not cover `want`.
     fn shortage(
         &self,
         now: time::Time,
@@ -211,20 +212,20 @@
     }
 }
 
-/// Grants credit out of the slices that a host holds.
+/// Grants credit of the slices that a host holds.
 #[derive(Clone, Debug, Default)]
 pub struct Lender {
     accounts: BTreeMap<Key, Account>,
 }
 
 impl Lender {
-    /// Makes a lender without state.
+    /// Creates a lender without state.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Accounts that have state.
+    /// Number of accounts that have state.
     #[must_use]
     pub fn len(&self) -> usize {
         self.accounts.len()
@@ -236,9 +237,9 @@
         self.accounts.is_empty()
     }
 
-    /// Answers an ask for a slice, under the authority that the host has over it now.
+    /// Handles a credit request for a slice, under the authority that the host has over it now.
     ///
-    /// Returns `None` for an ask that is repeated or out of order.
+    /// Returns `None` for a request that is repeated or out of order.
     pub fn handle_request(
         &mut self,
         now: time::Time,
@@ -307,7 +308,7 @@
         Some(Grant { scarce, ..grant })
     }
 
-    /// Forgets accounts whose state equals that of an account never met.
+    /// Drops accounts whose state is the same as that of an unknown account.
     pub fn tick(&mut self, now: time::Time) {
         let full = parameters::with_skew_margin(parameters::BURST_WINDOW) * 2;
         for account in self.accounts.values_mut() {
@@ -321,7 +322,7 @@
         });
     }
 
-    /// Requests, tokens and slots outstanding of a slice.
+    /// Outstanding credit of a slice.
     #[must_use]
     pub fn outstanding(&self, account: &name::AccountName, slice: u8) -> Amount {
         let account = self.accounts.get(&(account.clone(), slice));
@@ -329,8 +330,8 @@
     }
 }
 
-/// Takes over a later process of an entry host. What the former one held stays outstanding until
-/// it expires. Returns `None` for an ask of an earlier process.
+/// Resets the state for a later process of an entry host. The credit of the previous process stays
+/// outstanding until it expires. Returns `None` for a request of an earlier process.
 fn restart(outstanding: &mut HostCredit, boot: u64) -> Option<()> {
     if boot < outstanding.boot {
         return None;
--- a/crates/core/src/limits/message.rs
+++ b/crates/core/src/limits/message.rs
@@ -5,7 +5,8 @@
 use crate::limits::Amount;
 use crate::{name, units};
 
-/// An entry host asks the holder of a slice for credit, and tells what became of earlier credit.
+/// Request of an entry host to the holder of a slice for credit. It also reports the state of
+/// earlier credit.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CreditRequest {
@@ -15,29 +16,29 @@
     pub slice: u8,
     /// Number of the entry host's process, larger for a later one.
     pub boot: u64,
-    /// Number of the ask, larger for a later one.
+    /// Sequence number of the request.
     pub number: u64,
     /// Largest grant number that the entry host has received from the slice.
     #[serde(rename = "seen")]
     pub last_grant: u64,
-    /// Credit of the grants seen that is neither spent nor given back. For slots, those in use
-    /// count too.
+    /// Credit of the received grants that is neither spent nor released. Slots that are in use
+    /// are included.
     pub held: Amount,
-    /// Credit given back with this ask. It is no longer held.
+    /// Credit that is returned with this request. It is not included in `held`.
     pub released: Amount,
-    /// Tokens that were charged by estimate and not used.
+    /// Tokens that were charged by an estimate but not used.
     pub refund: units::Tokens,
     /// Tokens that were used beyond the estimate.
     #[serde(rename = "overused")]
     pub overrun: units::Tokens,
-    /// Credit asked for.
+    /// Credit that is requested.
     pub want: Amount,
-    /// Credit without which the rest is of no use.
+    /// Smallest credit that is useful to the entry host. A smaller grant would be wasted.
     #[serde(rename = "least")]
     pub minimum: Amount,
 }
 
-/// The answer of a holder.
+/// Answer of a holder to a [`CreditRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Grant {
@@ -45,31 +46,32 @@
     pub account: name::AccountName,
     /// Slice of the account's limits.
     pub slice: u8,
-    /// Number of the ask that is answered.
+    /// Number of the request that is answered.
     #[serde(rename = "ask")]
     pub request_number: u64,
     /// Number of the grant.
     pub number: u64,
-    /// Credit granted.
+    /// Credit that is granted.
     pub amount: Amount,
-    /// What the slice lacks, or `None` if all was granted.
+    /// Why less than requested was granted, or `None` if all was granted.
     #[serde(rename = "short")]
     pub shortage: Option<Shortage>,
-    /// Whether the slice is so far used up that credit and slots should be given back soon.
+    /// Whether credit of the slice is scarce, so that unused credit and slots should be returned
+    /// promptly.
     #[serde(rename = "tight")]
     pub scarce: bool,
 }
 
-/// Why a holder granted less than was asked for.
+/// Why a holder granted less than was requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Shortage {
-    /// The receiver does not hold the slice, or not yet or no more.
+    /// The receiver of the request does not hold the slice, not yet, or no longer.
     NotHolder,
-    /// Requests are used up; enough for one more come in this time.
+    /// Requests are used up. There is enough for one more after this time.
     Requests(Duration),
-    /// Tokens are used up; enough for the request come in this time.
+    /// Tokens are used up. There are enough for the request after this time.
     Tokens(Duration),
-    /// All requests in flight are taken.
+    /// All slots for requests in flight are in use.
     Slots,
 }
--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -1,19 +1,21 @@
-//! Limits of plans, shared out over the fleet so that the shares never sum above the plan.
+//! Distributed rate limiting: the limits of a plan are divided among the hosts so that the shares
+//! never exceed the plan.
 //!
-//! The limits of an account are cut into up to eight slices, and each slice is held by one host,
-//! most in different failure domains. The table in the key-value service says who holds a slice,
-//! and a holder may use it for a lease that it counts on its own clock from when it sent the read
-//! that showed it as the holder ([`claims`]). Another host that takes a slice over waits until
-//! that lease has surely lapsed. A quarter of each slice, the floor, has a lease of hours, so that
-//! it serves through an outage of the store; the rest has a lease of a minute.
+//! The limits of an account are divided into up to eight slices. Each slice is held by one host,
+//! most of them in different failure domains. A table in the key-value service records the holder
+//! of each slice. A holder may use a slice for the duration of a lease, which it counts on its own
+//! clock from when it sent the read that showed it as the holder ([`claims`]). Another host that
+//! takes the slice over waits until that lease has expired on every clock. A quarter of each
+//! slice, the floor, has a lease of hours, so that it remains usable during an outage of the
+//! store; the rest, the elastic part, has a lease of a minute.
 //!
-//! A holder grants credit to entry hosts ([`lender`]). Credit lives for two seconds on the clock
-//! of the entry host, counted from when it asked, so that a paused host wakes up with none. An
+//! A holder grants credit to entry hosts ([`lender`]). Credit is valid for two seconds on the clock
+//! of the entry host, counted from its request, so that a host has none left after a pause. An
 //! entry host asks the holder in its own domain first and then the others ([`borrower`]), so that
 //! the whole limit can be used wherever the requests arrive.
 //!
-//! No clock is compared with another. Spans are compared, and two clocks differ in their rates by
-//! at most [`MAX_CLOCK_SKEW_PPM`].
+//! Timestamps of different clocks are never compared, only durations. The rates of two clocks
+//! differ by at most [`MAX_CLOCK_SKEW_PPM`].
 
 mod amount;
 mod authority;
--- a/crates/core/src/limits/slice_credit.rs
+++ b/crates/core/src/limits/slice_credit.rs
@@ -8,23 +8,23 @@
 use crate::limits::{Amount, SliceId, parameters};
 use crate::{time, units};
 
-/// Time after which an unanswered ask counts as lost.
+/// Time after which an unanswered credit request counts as lost.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Time for which a holder that did not answer, or does not hold the slice, is not asked again.
 const HOLDER_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Longest time for which a holder that was short is not asked again.
+/// Maximum time for which a holder that was short of credit is not asked again.
 const MAX_SHORTAGE_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Time after which a tight slice is told what is given back.
+/// Time after which a report to the holder is due if credit of the slice is scarce.
 const URGENT_REPORT_DELAY: Duration = Duration::from_secs(1);
 
 /// Credit of one grant.
 #[derive(Clone, Copy, Debug)]
 struct Credit {
     amount: Amount,
-    /// Time until which the credit may be spent.
+    /// Time at which the credit expires.
     until: time::Time,
 }
 
@@ -33,19 +33,20 @@
 pub(super) struct SliceCredit {
     pub(super) id: SliceId,
     credits: SmallVec<[Credit; 2]>,
-    /// Requests in flight that take a slot of the slice.
+    /// Requests in flight that occupy a slot of the slice.
     in_use: units::Requests,
     /// Largest grant number received.
     last_grant: u64,
-    /// The ask that is not answered, and when it was sent.
+    /// Number of the request that has not been answered, and when it was sent.
     open_request: Option<(u64, time::Time)>,
-    /// Until when the slice is not asked, and why.
+    /// Why the slice was short of credit, until when it is not asked, and when it will have
+    /// enough.
     shortage: Option<(Shortage, time::Time, time::Time)>,
     refund: units::Tokens,
     overrun: units::Tokens,
-    /// Since when there is something to report that no ask has carried.
+    /// Time since which there has been something to report that no request has carried.
     unreported_since: Option<time::Time>,
-    /// Whether the slice is so far used up that what is given back matters.
+    /// Whether credit of the slice is scarce, so that returned credit matters.
     scarce: bool,
 }
 
@@ -71,7 +72,7 @@
         credits.fold(Amount::ZERO, |sum, credit| sum.plus(credit.amount))
     }
 
-    /// Forgets credit whose time is over, and an ask that was not answered.
+    /// Drops expired credit, and a request that was not answered in time.
     pub(super) fn expire(&mut self, now: time::Time) {
         self.credits.retain(|credit| now < credit.until);
         if let Some((_, sent)) = self.open_request
@@ -109,7 +110,7 @@
         self.open_request.is_none() && self.unreported_since.is_some_and(due)
     }
 
-    /// Why the slice is short and how long it will be.
+    /// Returns why the slice is short of credit, and the time until it will have enough.
     pub(super) fn shortage(&self, now: time::Time) -> Option<(Shortage, Duration)> {
         self.shortage
             .map(|(shortage, _, enough)| (shortage, enough.since(now)))
@@ -119,7 +120,7 @@
         self.last_grant
     }
 
-    /// Takes as much of an amount as there is credit for.
+    /// Spends as much of an amount as there is credit for. Returns the amount that was spent.
     pub(super) fn spend(&mut self, amount: Amount) -> Amount {
         let mut left = amount;
         for credit in &mut self.credits {
@@ -133,7 +134,7 @@
         taken
     }
 
-    /// Ends a request that takes a slot.
+    /// Ends a request that occupies a slot.
     pub(super) fn end_request(
         &mut self,
         now: time::Time,
@@ -178,8 +179,8 @@
         });
     }
 
-    /// Makes the report of an ask: what is held, and what is given back because nothing waits
-    /// for it.
+    /// Returns the report for a credit request: the credit that is held, and the credit that is
+    /// released. All unspent credit is released unless requests are waiting for it (`wanted`).
     pub(super) fn report(
         &mut self,
         now: time::Time,
--- a/crates/core/tests/limits_credit.rs
+++ b/crates/core/tests/limits_credit.rs
@@ -1,4 +1,5 @@
-//! Over any window an account is charged at most its rate and one burst, whatever is lost.
+//! Over any window, an account is charged at most its rate plus one burst, even if messages are
+//! lost.
 
 use std::collections::BTreeMap;
 
@@ -13,6 +14,9 @@
 
 const ENTRIES: u32 = 4;
 
+/// Maximum skew of a clock, in parts per million.
+const MAX_SKEW: i64 = MAX_CLOCK_SKEW_PPM as i64;
+
 fn plan() -> lists::Plan {
     lists::Plan {
         models: vec!["m".parse().unwrap()],
@@ -30,29 +34,31 @@
     "farm".parse().unwrap()
 }
 
-/// Time on a clock that is off by some parts per million.
-fn at(truth: u64, skew_ppm: i64) -> time::Time {
-    time::Time::from_micros(truth.saturating_add_signed(truth as i64 * skew_ppm / 1_000_000))
+/// Time on a clock whose rate is off by some parts per million.
+fn at(true_time: u64, skew_ppm: i64) -> time::Time {
+    time::Time::from_micros(
+        true_time.saturating_add_signed(true_time as i64 * skew_ppm / 1_000_000),
+    )
 }
 
-enum Flight {
-    Ask(usize, SliceId, CreditRequest),
+enum InFlight {
+    Request(usize, SliceId, CreditRequest),
     Grant(usize, Grant),
 }
 
-struct World {
-    truth: u64,
-    /// Each slice has a lender of its own. The last span of authority of each, in true time.
+struct Simulation {
+    true_time: u64,
+    /// Each slice has its own lender: the lender, its authority and the skew of its clock.
     lenders: BTreeMap<u8, (Lender, Authority, i64)>,
     entries: Vec<(Borrower, i64)>,
-    flights: Vec<Flight>,
+    in_flight: Vec<InFlight>,
     running: Vec<(usize, Permit)>,
     /// Charges of requests and tokens by true time; refunds are negative.
     charges: Vec<(u64, i64, i64)>,
     requests: u128,
 }
 
-impl World {
+impl Simulation {
     fn new(skews: &[i64]) -> Self {
         let whole = Span {
             from: time::Time::ZERO,
@@ -65,14 +71,14 @@
         let lenders = Layout::of(&account(), &plan()).ids();
         let skew = |i: usize| skews[i % skews.len()];
         Self {
-            truth: 1_000_000_000,
+            true_time: 1_000_000_000,
             lenders: lenders
                 .map(|id| (id.slice, (Lender::new(), authority, skew(id.slice.into()))))
                 .collect(),
             entries: (0..ENTRIES as usize)
                 .map(|i| (Borrower::new(1, [false; SLICES as usize]), skew(i + 3)))
                 .collect(),
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             running: Vec::new(),
             charges: Vec::new(),
             requests: 0,
@@ -82,7 +88,7 @@
     fn admit(&mut self, entry: usize, cost: u64) {
         self.requests += 1;
         let id = request::RequestId(uuid::Uuid::from_u128(self.requests));
-        let now = at(self.truth, self.entries[entry].1);
+        let now = at(self.true_time, self.entries[entry].1);
         let cost = units::Tokens(cost);
         let effects = self.entries[entry]
             .0
@@ -93,11 +99,11 @@
     fn run(&mut self, entry: usize, effects: borrower::Effects) {
         for effect in effects {
             match effect {
-                borrower::Effect::Request(id, ask) => {
-                    self.flights.push(Flight::Ask(entry, id, ask))
+                borrower::Effect::Request(id, request) => {
+                    self.in_flight.push(InFlight::Request(entry, id, request))
                 }
                 borrower::Effect::Admitted(_, permit) => {
-                    self.charges.push((self.truth, 1, permit.cost.0 as i64));
+                    self.charges.push((self.true_time, 1, permit.cost.0 as i64));
                     self.running.push((entry, permit));
                 }
                 borrower::Effect::Refused { .. } => {}
@@ -106,37 +112,37 @@
     }
 
     fn deliver(&mut self, index: usize, again: bool) {
-        if self.flights.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let index = index % self.flights.len();
-        let flight = self.flights.remove(index);
-        match &flight {
-            Flight::Ask(entry, id, ask) => {
+        let index = index % self.in_flight.len();
+        let message = self.in_flight.remove(index);
+        match &message {
+            InFlight::Request(entry, id, request) => {
                 let (lender, authority, skew) = self.lenders.get_mut(&id.slice).unwrap();
-                let now = at(self.truth, *skew);
+                let now = at(self.true_time, *skew);
                 let host = entity::HostId::new(*entry as u32).unwrap();
-                if let Some(grant) = lender.handle_request(now, host, ask, &plan(), authority) {
-                    self.flights.push(Flight::Grant(*entry, grant));
+                if let Some(grant) = lender.handle_request(now, host, request, &plan(), authority) {
+                    self.in_flight.push(InFlight::Grant(*entry, grant));
                 }
             }
-            Flight::Grant(entry, grant) => {
+            InFlight::Grant(entry, grant) => {
                 let (borrower, skew) = &mut self.entries[*entry];
-                let effects = borrower.handle_grant(at(self.truth, *skew), grant);
+                let effects = borrower.handle_grant(at(self.true_time, *skew), grant);
                 self.run(*entry, effects);
             }
         }
         if again {
-            self.flights.push(flight);
+            self.in_flight.push(message);
         }
     }
 
     fn tick(&mut self, entry: usize) {
-        let now = at(self.truth, self.entries[entry].1);
+        let now = at(self.true_time, self.entries[entry].1);
         let effects = self.entries[entry].0.tick(now);
         self.run(entry, effects);
         for (lender, _, skew) in self.lenders.values_mut() {
-            lender.tick(at(self.truth, *skew));
+            lender.tick(at(self.true_time, *skew));
         }
     }
 
@@ -146,17 +152,18 @@
         }
         let (entry, permit) = self.running.remove(index % self.running.len());
         let used = units::Tokens(used).min(permit.cost);
-        let now = at(self.truth, self.entries[entry].1);
+        let now = at(self.true_time, self.entries[entry].1);
         self.entries[entry].0.end_request(now, &permit, Some(used));
         self.charges
-            .push((self.truth, 0, used.0 as i64 - permit.cost.0 as i64));
+            .push((self.true_time, 0, used.0 as i64 - permit.cost.0 as i64));
     }
 
-    /// Replaces the holder of a slice by a new one, after the wait that claims keep.
+    /// Replaces the holder of a slice by a new one, whose authority starts after the wait that the
+    /// claims impose.
     fn move_slice(&mut self, slice: u8) {
         if let Some((lender, authority, skew)) = self.lenders.get_mut(&slice) {
             *lender = Lender::new();
-            let from = at(self.truth, *skew) + limits::with_skew_margin(limits::CREDIT_TTL);
+            let from = at(self.true_time, *skew) + limits::with_skew_margin(limits::CREDIT_TTL);
             let until = time::Time::from_secs(1 << 40);
             let span = Span { from, until };
             *authority = Authority {
@@ -167,8 +174,8 @@
     }
 }
 
-/// Largest charge over any window beyond the rate and one burst, both divided by `parts`, as
-/// requests and tokens, of charges by true time in microseconds.
+/// Returns the largest charge over any window, in requests and in tokens, beyond the rate and one
+/// burst, both divided by `parts`. The charges are ordered by true time in microseconds.
 fn over_admission(charges: &[(u64, i64, i64)], parts: i128) -> [i64; 2] {
     let plan = plan();
     let bursts = [
@@ -177,17 +184,17 @@
     ];
     let rates = [plan.requests_per_minute.0, plan.tokens_per_minute.0];
     [0, 1].map(|kind| {
-        // Level of a bucket that holds one burst, in units a minute times microseconds.
+        // Level of a bucket with a capacity of one burst, in units per minute times microseconds.
         let full = i128::from(bursts[kind]) * 60_000_000 / parts;
         let (mut level, mut last, mut worst) = (full, 0, 0_i128);
-        for (truth, requests, tokens) in charges {
+        for (true_time, requests, tokens) in charges {
             let charge = if kind == 0 { *requests } else { *tokens };
-            let refill = i128::from(*truth - last) * i128::from(rates[kind]) / parts;
+            let refill = i128::from(*true_time - last) * i128::from(rates[kind]) / parts;
             level = (level + refill).min(full) - i128::from(charge) * 60_000_000;
-            last = *truth;
+            last = *true_time;
             worst = worst.min(level);
         }
-        // Rounded up, so that any excess counts.
+        // Rounded up, so that even the smallest excess counts.
         ((-worst + 59_999_999) / 60_000_000) as i64
     })
 }
@@ -200,60 +207,61 @@
         ..ProptestConfig::default()
     })]
 
-    /// Asks and grants are lost, repeated and reordered, entry hosts and lenders pause, slices
-    /// change hands, and clocks differ within the stated bound.
+    /// The bound holds although credit requests and grants are lost, repeated and reordered, entry
+    /// hosts and lenders pause, slices change their holders, and clocks differ within the stated
+    /// bound.
     #[test]
     fn charges_stay_within_rate_and_burst(
-        skews in proptest::collection::vec(-(MAX_CLOCK_SKEW_PPM as i64)..=MAX_CLOCK_SKEW_PPM as i64, 8),
+        skews in proptest::collection::vec(-MAX_SKEW..=MAX_SKEW, 8),
         ops in proptest::collection::vec((0_u8..100, any::<u16>()), 1..1_500),
     ) {
-        let mut world = World::new(&skews);
+        let mut sim = Simulation::new(&skews);
         for (op, arg) in ops {
             let index = usize::from(arg);
             let entry = index % ENTRIES as usize;
             match op {
-                0..=34 => (0..4).for_each(|_| world.admit(entry, 20 + u64::from(arg) % 400)),
-                35..=69 => world.deliver(index, false),
-                70..=71 => world.deliver(index, true),
-                72 if !world.flights.is_empty() => {
-                    world.flights.remove(index % world.flights.len());
+                0..=34 => (0..4).for_each(|_| sim.admit(entry, 20 + u64::from(arg) % 400)),
+                35..=69 => sim.deliver(index, false),
+                70..=71 => sim.deliver(index, true),
+                72 if !sim.in_flight.is_empty() => {
+                    sim.in_flight.remove(index % sim.in_flight.len());
                 }
-                73..=79 => world.truth += u64::from(arg),
-                80..=82 => world.truth += u64::from(arg) * 5,
-                83 => world.truth += u64::from(arg) * 60,
-                84..=87 => world.tick(entry),
-                88..=97 => (0..6).for_each(|_| world.end(index, u64::from(arg) % 300)),
-                98 => world.move_slice(arg as u8 % SLICES),
+                73..=79 => sim.true_time += u64::from(arg),
+                80..=82 => sim.true_time += u64::from(arg) * 5,
+                83 => sim.true_time += u64::from(arg) * 60,
+                84..=87 => sim.tick(entry),
+                88..=97 => (0..6).for_each(|_| sim.end(index, u64::from(arg) % 300)),
+                98 => sim.move_slice(arg as u8 % SLICES),
                 _ => {
-                    // The process starts again; its requests in flight end with it.
-                    world.running.retain(|(other, _)| *other != entry);
-                    let boot = 2 + world.requests as u64;
-                    world.entries[entry].0 = Borrower::new(boot, [false; SLICES as usize]);
+                    // The process restarts, and its requests in message end.
+                    sim.running.retain(|(other, _)| *other != entry);
+                    let boot = 2 + sim.requests as u64;
+                    sim.entries[entry].0 = Borrower::new(boot, [false; SLICES as usize]);
                 }
             }
-            prop_assert!(world.running.len() <= 16, "{} in flight", world.running.len());
+            prop_assert!(sim.running.len() <= 16, "{} in message", sim.running.len());
         }
-        prop_assert_eq!(over_admission(&world.charges, 1), [0, 0]);
+        prop_assert_eq!(over_admission(&sim.charges, 1), [0, 0]);
     }
 }
 
 #[test]
 fn whole_limit_is_usable_from_one_entry_host() {
-    let mut world = World::new(&[0]);
+    let mut sim = Simulation::new(&[0]);
     let mut admitted = 0;
     for step in 0..6_000_u64 {
-        world.truth += 20_000;
-        world.admit(0, 100);
-        while !world.flights.is_empty() {
-            world.deliver(0, false);
+        sim.true_time += 20_000;
+        sim.admit(0, 100);
+        while !sim.in_flight.is_empty() {
+            sim.deliver(0, false);
         }
-        while !world.running.is_empty() {
-            world.end(0, 100);
+        while !sim.running.is_empty() {
+            sim.end(0, 100);
         }
         if step % 5 == 0 {
-            world.tick(0);
+            sim.tick(0);
         }
-        admitted = world
+        admitted = sim
             .charges
             .iter()
             .filter(|(_, requests, _)| *requests > 0)
@@ -261,11 +269,11 @@
     }
     // Two minutes at 600 requests a minute, and a burst of 200.
     assert!(admitted >= 1_330, "{admitted}");
-    assert_eq!(over_admission(&world.charges, 1), [0, 0]);
+    assert_eq!(over_admission(&sim.charges, 1), [0, 0]);
 }
 
 #[test]
-fn ask_that_is_repeated_or_late_changes_nothing() {
+fn credit_request_that_is_repeated_or_late_changes_nothing() {
     let plan = plan();
     let whole = Span {
         from: time::Time::ZERO,
@@ -277,7 +285,7 @@
     };
     let id = Layout::of(&account(), &plan).ids().next().unwrap();
     let want = Amount::of_request(units::Tokens(100));
-    let ask = |number: u64| CreditRequest {
+    let request = |number: u64| CreditRequest {
         account: account(),
         slice: id.slice,
         boot: 1,
@@ -295,42 +303,42 @@
     let mut lender = Lender::new();
     assert!(
         lender
-            .handle_request(now, host, &ask(2), &plan, &authority)
+            .handle_request(now, host, &request(2), &plan, &authority)
             .is_some()
     );
     assert_eq!(
-        lender.handle_request(now, host, &ask(2), &plan, &authority),
+        lender.handle_request(now, host, &request(2), &plan, &authority),
         None
     );
     assert_eq!(
-        lender.handle_request(now, host, &ask(1), &plan, &authority),
+        lender.handle_request(now, host, &request(1), &plan, &authority),
         None
     );
     assert_eq!(lender.outstanding(&account(), id.slice), want);
 }
 
-/// An entry host that keeps credit for as long as it may, gives back and spends at will.
+/// An entry host that keeps credit for as long as it may, and returns and spends it arbitrarily.
 #[derive(Default)]
 struct Hoarder {
     number: u64,
-    seen: u64,
+    last_grant: u64,
     credits: Vec<(Amount, time::Time)>,
-    asked: Option<(u64, time::Time)>,
+    pending: Option<(u64, time::Time)>,
 }
 
 impl Hoarder {
-    fn ask(&mut self, now: time::Time, slice: u8, want: u64, give_back: bool) -> CreditRequest {
+    fn request(&mut self, now: time::Time, slice: u8, want: u64, release: bool) -> CreditRequest {
         self.credits.retain(|(_, until)| now < *until);
-        let last = if give_back { self.credits.pop() } else { None };
+        let last = if release { self.credits.pop() } else { None };
         let credits = self.credits.iter();
         self.number += 1;
-        self.asked = Some((self.number, now));
+        self.pending = Some((self.number, now));
         CreditRequest {
             account: account(),
             slice,
             boot: 1,
             number: self.number,
-            last_grant: self.seen,
+            last_grant: self.last_grant,
             held: credits.fold(Amount::ZERO, |sum, (amount, _)| sum.plus(*amount)),
             released: last.map_or(Amount::ZERO, |(amount, _)| amount),
             refund: units::Tokens::ZERO,
@@ -346,12 +354,12 @@
 
     fn granted(&mut self, grant: &Grant) {
         if let Some((number, sent)) = self
-            .asked
+            .pending
             .filter(|(number, _)| *number == grant.request_number)
         {
             debug_assert!(number <= self.number);
-            self.asked = None;
-            self.seen = self.seen.max(grant.number);
+            self.pending = None;
+            self.last_grant = self.last_grant.max(grant.number);
             self.credits.push((grant.amount, sent + limits::CREDIT_TTL));
         }
     }
@@ -365,38 +373,42 @@
         ..ProptestConfig::default()
     })]
 
-    /// The same with entry hosts that hoard credit and spend it at the last moment.
+    /// The bound also holds for entry hosts that hoard credit and spend it at the last moment.
     #[test]
     fn hoarded_credit_stays_within_rate_and_burst(
-        skews in proptest::collection::vec(-(MAX_CLOCK_SKEW_PPM as i64)..=MAX_CLOCK_SKEW_PPM as i64, 4),
+        skews in proptest::collection::vec(-MAX_SKEW..=MAX_SKEW, 4),
         ops in proptest::collection::vec((0_u8..100, any::<u16>()), 1..400),
     ) {
         let slices: Vec<_> = Layout::of(&account(), &plan()).ids().map(|id| id.slice).collect();
         let whole = Span { from: time::Time::ZERO, until: time::Time::from_secs(1 << 40) };
         let authority = Authority { elastic: whole, floor: whole };
-        // One lender holds every slice, and each hoarder asks for one of them.
+        // One lender holds every slice, and each hoarder requests credit from one of them.
         let mut lender = Lender::new();
         let mut hoarders: Vec<_> = (0..slices.len()).map(|_| Hoarder::default()).collect();
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         let mut grants = Vec::new();
         let mut charges = vec![Vec::new(); slices.len()];
-        let mut truth = 1_000_000_000;
+        let mut true_time = 1_000_000_000;
         for (op, arg) in ops {
             let index = usize::from(arg);
             let who = index % hoarders.len();
-            let now = at(truth, skews[who % 3]);
+            let now = at(true_time, skews[who % 3]);
             match op {
                 0..=29 => {
                     let want = u64::from(arg) % 40;
                     let slice = slices[who % slices.len()];
-                    asks.push((who, hoarders[who].ask(now, slice, want, arg >> 8 & 3 == 0)));
+                    let release = arg >> 8 & 3 == 0;
+                    requests.push((who, hoarders[who].request(now, slice, want, release)));
                 }
-                30..=54 if !asks.is_empty() => {
-                    let i = index % asks.len();
-                    let (who, ask) = if op == 30 { asks[i].clone() } else { asks.remove(i) };
+                30..=54 if !requests.is_empty() => {
+                    let i = index % requests.len();
+                    let (who, request) = match op {
+                        30 => requests[i].clone(),
+                        _ => requests.remove(i),
+                    };
                     let host = entity::HostId::new(who as u32).unwrap();
-                    let now = at(truth, skews[3]);
-                    let grant = lender.handle_request(now, host, &ask, &plan(), &authority);
+                    let now = at(true_time, skews[3]);
+                    let grant = lender.handle_request(now, host, &request, &plan(), &authority);
                     grants.extend(grant.map(|grant| (who, grant)));
                 }
                 55..=74 if !grants.is_empty() => {
@@ -411,13 +423,13 @@
                         Some(hoarder.credits.remove(all % hoarder.credits.len()))
                     };
                     if let Some((amount, _)) = spent.filter(|(_, until)| now < *until) {
-                        let charge = (truth, amount.requests.0 as i64, amount.tokens.0 as i64);
+                        let charge = (true_time, amount.requests.0 as i64, amount.tokens.0 as i64);
                         charges[who % slices.len()].push(charge);
                     }
                 }
-                90..=95 => truth += u64::from(arg) * 20,
-                96 => truth += u64::from(arg) * 500,
-                _ => truth += u64::from(arg) * 2,
+                90..=95 => true_time += u64::from(arg) * 20,
+                96 => true_time += u64::from(arg) * 500,
+                _ => true_time += u64::from(arg) * 2,
             }
         }
         for charges in charges {
