--- a/crates/core/src/choice/cost.rs
+++ b/crates/core/src/choice/cost.rs
@@ -1,34 +1,34 @@
-//! Predicted cost of a request at an endpoint, in milliseconds.
+//! Cost model: the predicted latency that an endpoint adds to a request, in milliseconds.
 
 use crate::choice::{self, homes};
 
-/// Multiple of the mean load of a pool up to which an endpoint is preferred.
+/// Multiple of the mean load of the candidates that bounds the load of an endpoint.
 const BOUND_MULTIPLE: f64 = 1.5;
 
-/// Requests above the multiple that an endpoint may have.
+/// Requests in flight that the bound allows on top of the multiple.
 const BOUND_SLACK_REQUESTS: f64 = 2.5;
 
-/// Part of the cost of a copy that counts at a home of the prompt, which may hold it by now.
+/// Factor on the copy cost at a home of the prompt, which may hold the prompt already.
 const HOME_COPY_FACTOR: f64 = 0.25;
 
-/// Speeds that costs are computed from.
+/// Parameters of the cost model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Parameters {
-    /// Prompt tokens that an engine reads in a millisecond.
+    /// Prompt tokens that an engine prefills per millisecond.
     pub read_tokens_per_ms: f64,
-    /// Multiple of its own time that reading costs, since it holds up all requests that run there.
+    /// Weight of the prefill time, above 1 because prefill stalls the other requests of the batch.
     pub read_weight: f64,
-    /// Prompt tokens that are copied between engines at the cost of a millisecond.
+    /// Prompt tokens that are copied between engines per millisecond.
     pub copy_tokens_per_ms: f64,
-    /// Cost of any copy, in milliseconds.
+    /// Fixed cost of a copy, in milliseconds.
     pub copy_ms: f64,
-    /// Time that one more running request costs the others and the new one, in milliseconds.
+    /// Slowdown from each request that runs in the same batch, in milliseconds.
     pub contention_ms: f64,
-    /// Time that a call to a plain service takes, in milliseconds.
+    /// Duration of a call to a plain service, in milliseconds.
     pub call_ms: f64,
-    /// Time that a stream takes, in milliseconds.
+    /// Duration of a streamed answer, in milliseconds.
     pub stream_ms: f64,
-    /// Cost of sending a request to another failure domain, in milliseconds.
+    /// Cost of a request to another failure domain, in milliseconds.
     pub remote_ms: f64,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Requests from which on an endpoint is above the bound of its pool.
+/// Returns the requests in flight from which on an endpoint is above the load bound.
 #[must_use]
 pub fn bound(candidates: &[choice::Candidate]) -> u32 {
     let total: u32 = candidates.iter().map(|c| c.load.in_flight()).sum();
@@ -55,7 +55,7 @@
     (mean * BOUND_MULTIPLE + BOUND_SLACK_REQUESTS).ceil() as u32
 }
 
-/// Time that a request is predicted to lose at an endpoint.
+/// Predicts the latency that an endpoint adds to a request, in milliseconds.
 #[must_use]
 pub fn predict_ms(
     request: &choice::Request,
@@ -93,7 +93,7 @@
     }
 }
 
-/// Cost of copying tokens, in milliseconds.
+/// Returns the cost of copying cached tokens, in milliseconds.
 fn copy_cost(tokens: u32, params: &Parameters) -> f64 {
     match tokens {
         0 => 0.0,
--- a/crates/core/src/choice/homes.rs
+++ b/crates/core/src/choice/homes.rs
@@ -1,22 +1,22 @@
-//! Homes of prompts: endpoints that every host computes alike.
+//! Home endpoints of prompts, by rendezvous hashing.
 //!
-//! Hosts that never hear of each other's requests send a prompt to its first home and so have it
-//! read once; a hot prompt spreads over the same few endpoints, whoever sends it. Endpoints that
-//! leave keep their place as sources of copies, so a prompt whose home leaves is copied by the
-//! next one rather than read again.
+//! Every host computes the same homes. Hosts that do not know of each other's requests still send
+//! a prompt to the same first home, so it is prefilled once; a hot prompt spreads over the same few
+//! endpoints whichever host sends it. Leaving endpoints keep their rank as copy sources, so when
+//! the home of a prompt leaves, the next home copies the prompt instead of prefilling it again.
 
 use smallvec::SmallVec;
 
 use crate::choice::{Caches, Candidate, prefix, prompt};
 use crate::{entity, routing, time};
 
-/// Homes of a prompt.
+/// Number of homes of a prompt.
 const HOMES: usize = 3;
 
-/// Fewest tokens that are copied from another endpoint rather than read.
+/// Minimum tokens that are copied from another endpoint instead of prefilled.
 const MIN_COPY_TOKENS: u32 = 256;
 
-/// An endpoint that takes no more requests, but still has its cache.
+/// An endpoint that takes no new requests but still has its cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeavingEndpoint {
     /// The endpoint.
@@ -25,14 +25,14 @@
     pub hash: u64,
 }
 
-/// How an endpoint comes by the tokens of a prompt.
+/// How an endpoint obtains the KV cache of a prompt: by prefill, copy, or both.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrefillPlan {
-    /// Tokens that it is predicted to read.
+    /// Tokens that it is predicted to prefill.
     pub read_tokens: u32,
     /// Tokens that it is predicted to copy from another endpoint's cache.
     pub copy_tokens: u32,
-    /// Endpoint that it should copy from, before it reads the rest.
+    /// Endpoint that it should copy from before it prefills the rest.
     pub copy_from: Option<entity::EndpointId>,
     /// Whether it is a home of the prompt.
     pub is_home: bool,
@@ -40,7 +40,7 @@
 
 type Ranked = SmallVec<[(u64, entity::EndpointId); HOMES + 1]>;
 
-/// Where a prompt is, as far as a host knows or assumes.
+/// Endpoints that hold a prompt, as recorded on this host or assumed from the homes.
 #[derive(Debug)]
 pub struct PromptLocations<'a> {
     prompt: &'a prompt::Prompt,
@@ -48,16 +48,16 @@
     now: time::Time,
     /// Tokens that other prompts may share.
     shared_tokens: u32,
-    /// An endpoint that is known to hold all of them and can be copied from.
+    /// Endpoint that is recorded to hold all shared tokens and can be copied from.
     known_holder: Option<entity::EndpointId>,
-    /// Homes among the candidates, the best first.
+    /// Homes among the candidates, highest score first.
     homes: Ranked,
-    /// Homes among all endpoints that can be copied from, the best first.
+    /// Homes among all endpoints that can be copied from, highest score first.
     sources: Ranked,
 }
 
 impl<'a> PromptLocations<'a> {
-    /// Works out where a prompt is.
+    /// Looks up the recorded holders of a prompt and computes its homes.
     pub fn new(
         prompt: &'a prompt::Prompt,
         candidates: &[Candidate],
@@ -97,14 +97,14 @@
         }
     }
 
-    /// Whether an endpoint is a home of the prompt or known to hold a part of it.
+    /// Whether an endpoint is a home of the prompt or recorded to hold its shared tokens.
     #[must_use]
     pub fn may_hold(&self, endpoint: entity::EndpointId) -> bool {
         let is_home = self.homes.iter().any(|(_, home)| *home == endpoint);
         is_home || self.known_holder == Some(endpoint)
     }
 
-    /// How an endpoint would come by the prompt.
+    /// Predicts how an endpoint would obtain the prompt.
     #[must_use]
     pub fn prefill_plan(&self, endpoint: entity::EndpointId) -> PrefillPlan {
         let held = self.prefixes.held_tokens(self.prompt, endpoint, self.now);
@@ -118,7 +118,7 @@
                 ..PrefillPlan::default()
             };
         }
-        // The first home holds the prompt by all accounts, unless another endpoint is known to.
+        // The first home is assumed to hold the prompt, unless another endpoint is recorded to.
         let first = self.homes.first().map(|(_, home)| *home);
         let is_assumed = self.known_holder.is_none() && first == Some(endpoint);
         PrefillPlan {
@@ -129,7 +129,8 @@
         }
     }
 
-    /// Endpoint that another one copies from. Copying from one that holds nothing costs little.
+    /// Returns the endpoint that `endpoint` copies from: the recorded holder, otherwise a home.
+    /// A wrong guess is cheap, since copying from an endpoint that holds nothing costs little.
     fn source_for(&self, endpoint: entity::EndpointId) -> Option<entity::EndpointId> {
         let sources = self.sources.iter().map(|(_, source)| *source);
         self.known_holder
@@ -143,7 +144,7 @@
     routing::rendezvous::score(key, (hash >> 32) as u32 ^ hash as u32)
 }
 
-/// Keeps the best entries, the best first.
+/// Inserts an entry into a list that keeps the [`HOMES`] highest entries, highest first.
 fn insert(ranked: &mut Ranked, entry: (u64, entity::EndpointId)) {
     let place = ranked.partition_point(|other| *other >= entry);
     if place < HOMES {
--- a/crates/core/src/choice/mod.rs
+++ b/crates/core/src/choice/mod.rs
@@ -1,11 +1,11 @@
-//! Which endpoint a request goes to.
+//! Endpoint selection for requests that a host sends to endpoints itself.
 //!
-//! Each endpoint has a [load](load::Load): what this host sends it, what the other hosts say that
-//! they send it, and what it says of itself. [`cost`] predicts from it the time that a request
-//! loses there, in milliseconds: the prompt tokens to read, the prompts that are read before it,
-//! the wait for a slot, the slower steps of a fuller batch, and the way to another failure domain.
-//! The cheapest endpoint takes the request. Endpoints above the bound on load come after all
-//! others, and endpoints that [fail](crate::health) after those.
+//! Each endpoint has a [load](load::Load): the work of this host, the work that the other hosts
+//! report, and the load that the endpoint reports itself. From it, [`cost`] predicts the latency
+//! that the endpoint adds to a request, in milliseconds: prefill of the prompt, prefill of the
+//! prompts queued before it, the wait for a slot, slower decoding steps in a larger batch, and the
+//! latency to another failure domain. The request goes to the cheapest endpoint. Endpoints above
+//! the load bound rank after all others, and [unhealthy](crate::health) endpoints after those.
 
 pub mod cost;
 pub mod homes;
@@ -15,44 +15,45 @@
 
 use crate::{entity, routing, time};
 
-/// Endpoints beside those that may hold the prompt that a request is compared over.
+/// Expected number of endpoints in the random sample that is compared first. Endpoints that may
+/// hold the prompt are added to it.
 const SAMPLE_SIZE: u64 = 8;
 
-/// An endpoint that may take a request.
+/// An endpoint that a request may be sent to.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// The endpoint.
     pub endpoint: entity::EndpointId,
     /// Hash of its identity, the same on every host.
     pub hash: u64,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it stands in the failure domain of this host.
+    /// Whether it is in the failure domain of this host.
     pub is_local: bool,
-    /// Whether it answered well when it was last asked.
+    /// Whether it passes its health checks.
     pub is_healthy: bool,
-    /// Whether the last attempt to connect to it, if any, succeeded.
+    /// Whether the last connection attempt, if any, succeeded.
     pub is_reachable: bool,
     /// Its load.
     pub load: load::Load,
 }
 
-/// What a request needs.
+/// The properties of a request that the selection depends on.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its prompt, or `None` for a call to a plain service.
+    /// Prompt, or `None` for a call to a plain service.
     pub prompt: Option<prompt::Prompt>,
-    /// A number that differs from request to request.
+    /// Random number of the request, for the sample and for ties.
     pub seed: u64,
 }
 
-/// What is known of the caches of endpoints.
+/// Cache state of the endpoints, as far as this host knows it.
 pub struct Caches<'a> {
-    /// Which endpoints hold which parts.
+    /// Endpoints that probably hold each prompt part.
     pub prefixes: &'a prefix::PrefixIndex,
-    /// Endpoints that take no more requests but still have their caches.
+    /// Endpoints that take no new requests but still have their caches.
     pub leaving: &'a [homes::LeavingEndpoint],
-    /// Whether cached parts can be copied from an endpoint. It need not be a candidate.
+    /// Whether cached parts can be copied from an endpoint, which need not be a candidate.
     pub is_source: &'a dyn Fn(entity::EndpointId) -> bool,
 }
 
@@ -62,31 +63,31 @@
     }
 }
 
-/// The endpoint chosen, with the figures that decided.
+/// The selected endpoint, with the figures behind the selection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
     /// The endpoint.
     pub endpoint: entity::EndpointId,
-    /// Time that the request is predicted to lose there, in milliseconds.
+    /// Predicted cost of the request there, in milliseconds.
     pub cost_ms: f64,
-    /// Prompt tokens that it is predicted to read.
+    /// Prompt tokens that it is predicted to prefill.
     pub read_tokens: u32,
-    /// Endpoint that it should copy cached prompt tokens from, before it reads the rest.
+    /// Endpoint that it should copy cached prompt tokens from, before it prefills the rest.
     pub copy_from: Option<entity::EndpointId>,
-    /// Prompt tokens that it is predicted to copy.
+    /// Prompt tokens that it is predicted to copy from there.
     pub copy_tokens: u32,
-    /// Candidates that were compared.
+    /// Number of candidates.
     pub candidates: u32,
 }
 
-/// Whether every endpoint is known to be unreachable and a request is finding out whether it still
-/// is. Another request would only wait for the same answer.
+/// Whether every candidate is known to be unreachable and already has a request of this host that
+/// tries to connect to it. A further request would only wait for the same result.
 fn all_unreachable_and_probed(candidates: &[Candidate]) -> bool {
     let is_being_probed = |c: &Candidate| !c.is_reachable && c.load.own.requests > 0;
     candidates.iter().all(is_being_probed)
 }
 
-/// Chooses the endpoint of a request, or `None` if no candidate can serve it.
+/// Selects the endpoint of a request. Returns `None` if no candidate can serve it.
 #[must_use]
 pub fn choose(
     request: &Request,
@@ -116,21 +117,21 @@
     comparison.best(candidates.iter()).map(|(_, choice)| choice)
 }
 
-/// What the candidates of one request are compared by.
+/// Comparison of the candidates of one request.
 struct Comparison<'a> {
     request: &'a Request,
     locations: Option<homes::PromptLocations<'a>>,
-    /// Load from which on an endpoint is above the bound.
+    /// Requests in flight from which on an endpoint is above the load bound.
     bound: u32,
     params: &'a cost::Parameters,
-    /// Candidates in all.
+    /// Number of candidates, sampled or not.
     candidate_count: u32,
 }
 
 impl Comparison<'_> {
-    /// Whether a candidate is looked at first: where the prompt may be, and a few others that
-    /// differ from request to request. If all hosts compared all endpoints by the same digests,
-    /// they would all send to the least loaded one until the next digest.
+    /// Whether a candidate is compared first: it may hold the prompt, or it is in the random
+    /// sample of this request. If all hosts compared all endpoints by the same load reports, they
+    /// would all send to the least loaded one until the next report (herding).
     fn is_sampled(&self, candidate: &Candidate) -> bool {
         let locations = self.locations.as_ref();
         if locations.is_some_and(|locations| locations.may_hold(candidate.endpoint)) {
@@ -140,7 +141,7 @@
         point % u64::from(self.candidate_count.max(1)) < SAMPLE_SIZE
     }
 
-    /// The best of some candidates.
+    /// Returns the candidate with the lowest rank.
     fn best<'c, I>(&self, candidates: I) -> Option<(Rank, Choice)>
     where
         I: Iterator<Item = &'c Candidate>,
@@ -174,7 +175,7 @@
     }
 }
 
-/// Order of candidates; the least is chosen.
+/// Sort key of the candidates, by its fields in order; the lowest is selected.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     is_failing: bool,
--- a/crates/core/src/choice/prefix.rs
+++ b/crates/core/src/choice/prefix.rs
@@ -1,4 +1,7 @@
-//! Which endpoints probably hold which parts of prompts in their cache.
+//! Index of the endpoints that probably hold each prompt part in their prefix cache.
+//!
+//! Entries come from requests that this host sends and from announcements of other hosts. Engines
+//! evict parts without notice, so an entry expires some time after its last use.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,32 +11,33 @@
 use crate::choice::prompt;
 use crate::{entity, time};
 
-/// Time after its last use for which a part is taken to be held. Engines drop the parts that were
-/// used least recently.
+/// Time after its last use for which a part counts as cached. Engines evict the least recently
+/// used parts.
 pub const RETENTION: Duration = Duration::from_secs(60);
 
-/// Most parts that are remembered.
+/// Maximum parts in the index.
 const MAX_PARTS: usize = 8_192;
 
-/// Time after which other hosts are told again that an endpoint uses a part.
+/// Interval at which an entry that stays in use is announced to other hosts again.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(8);
 
 #[derive(Clone, Copy, Debug)]
 struct Holder {
     endpoint: entity::EndpointId,
     used_at: time::Time,
-    /// When other hosts were last told of it, or told this one.
+    /// When the entry was last announced to other hosts, or by one of them.
     announced_at: Option<time::Time>,
 }
 
-/// Parts and the endpoints that read them lately.
+/// Prompt parts, each with the endpoints that recently used it.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
     holders: HashMap<u64, SmallVec<[Holder; 3]>>,
 }
 
 impl PrefixIndex {
-    /// Notes that an endpoint reads a prompt. Returns the keys of parts that other hosts should hear of.
+    /// Records that a prompt is sent to an endpoint. Returns the keys of the parts to announce to
+    /// other hosts.
     pub fn record_use(
         &mut self,
         prompt: &prompt::Prompt,
@@ -54,15 +58,15 @@
         to_announce
     }
 
-    /// Takes in that another host had an endpoint read a part.
+    /// Records the announcement of another host that an endpoint uses a part.
     pub fn record_remote_use(&mut self, key: u64, endpoint: entity::EndpointId, now: time::Time) {
         let holder = self.holder_entry(key, endpoint, now);
         holder.used_at = now;
         holder.announced_at = Some(now);
     }
 
-    /// The endpoint among those that are usable that holds most of the start of a prompt, and the
-    /// tokens that it holds.
+    /// Returns the usable endpoint that holds the longest prefix of a prompt, with the length of
+    /// that prefix in tokens.
     pub fn best_holder<F>(
         &self,
         prompt: &prompt::Prompt,
@@ -84,7 +88,8 @@
         best
     }
 
-    /// The record of a holder, made if there is none.
+    /// Returns the entry of a holder, which is added if missing. Evicts old entries first if the
+    /// index is over [`MAX_PARTS`].
     fn holder_entry(
         &mut self,
         key: u64,
@@ -107,7 +112,7 @@
         &mut holders[i]
     }
 
-    /// Tokens at the start of a prompt that an endpoint probably holds.
+    /// Length in tokens of the prefix of a prompt that an endpoint probably holds.
     #[must_use]
     pub fn held_tokens(
         &self,
@@ -123,7 +128,7 @@
             .sum()
     }
 
-    /// Forgets what an endpoint holds that is gone.
+    /// Removes the entries of an endpoint that no longer exists.
     pub fn remove_endpoint(&mut self, endpoint: entity::EndpointId) {
         self.holders.retain(|_, holders| {
             holders.retain(|h| h.endpoint != endpoint);
@@ -140,7 +145,8 @@
             .any(|h| h.endpoint == endpoint && now.since(h.used_at) < RETENTION)
     }
 
-    /// Forgets parts that are no longer held, or all if none is that old.
+    /// Evicts entries older than [`RETENTION`]. Clears the index if that does not bring it within
+    /// [`MAX_PARTS`].
     fn evict_expired(&mut self, now: time::Time) {
         self.holders.retain(|_, holders| {
             holders.retain(|h| now.since(h.used_at) < RETENTION);
--- a/crates/core/src/choice/prompt.rs
+++ b/crates/core/src/choice/prompt.rs
@@ -1,17 +1,17 @@
-//! Prompts, as the parts that requests share.
+//! Prompts, split into the parts that requests share.
 
 use smallvec::SmallVec;
 
-/// One part of a prompt.
+/// A part of a prompt, the unit in which cached prefixes are tracked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Hash of the model and of the part's id.
+    /// Hash of the model and the id of the part.
     pub key: u64,
     /// Tokens of this part.
     pub tokens: u32,
 }
 
-/// Key of a part of prompts for a model.
+/// Returns the key of a prompt part for a model.
 #[must_use]
 pub fn part_key(model: &[u8], id: &[u8]) -> u64 {
     let seed = xxhash_rust::xxh3::xxh3_64(model);
@@ -21,16 +21,17 @@
 /// Prompt of a request for an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Parts in their order. The last one belongs to the request or its chat alone.
+    /// Parts in prompt order. The last one belongs to the request or its chat and is not shared.
     pub parts: SmallVec<[Part; 4]>,
-    /// Tokens of the whole prompt. Invariant: at least those of the parts.
+    /// Tokens of the whole prompt. Invariant: at least the sum over the parts.
     pub tokens: u32,
-    /// Most tokens that are generated.
+    /// Maximum tokens that the model generates.
     pub output_tokens: u32,
 }
 
 impl Prompt {
-    /// Makes a prompt from the ids and tokens of its parts.
+    /// Makes a prompt from the ids and token counts of its parts. If `tokens` is lower than their
+    /// sum, the sum is used.
     #[must_use]
     pub fn new<'a, I>(model: &[u8], parts: I, tokens: u32, output_tokens: u32) -> Self
     where
@@ -57,7 +58,8 @@
         self.parts[..shared].iter().map(|p| p.tokens).sum()
     }
 
-    /// Key of the last part that other prompts may share.
+    /// Key of the last shared part, from which the homes of the prompt are computed, or `None` if
+    /// no part is shared.
     #[must_use]
     pub fn home_key(&self) -> Option<u64> {
         let shared = self.parts.len().checked_sub(2)?;
--- a/crates/core/tests/choice.rs
+++ b/crates/core/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Choice of endpoints: cached prompts, the bound on load, and failing endpoints.
+//! Endpoint selection: cached prompts, the load bound, and unhealthy or unreachable endpoints.
 
 use pistachiochute_core::choice::{
     Caches, Candidate, Choice, Request, choose, cost, load, prefix, prompt,
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_returning_prompt_goes_where_it_is_cached() {
+fn a_repeated_prompt_goes_to_the_endpoint_that_caches_it() {
     let candidates: Vec<_> = (0..18).map(|i| candidate(i, 4)).collect();
     let mut prefixes = prefix::PrefixIndex::default();
     prefixes.record_use(&contract(b"one"), id(7), NOW);
@@ -67,9 +67,9 @@
     }
 }
 
-/// A hot key: one contract gets much of the traffic, and its holder is above the bound.
+/// A hot key: one prompt gets much of the traffic, and its holder is above the bound.
 #[test]
-fn a_holder_above_the_bound_gives_its_cache_to_another() {
+fn another_endpoint_copies_from_a_holder_above_the_bound() {
     let mut candidates: Vec<_> = (0..18).map(|i| candidate(i, 4)).collect();
     candidates[7].load.own.requests = 12;
     let mut prefixes = prefix::PrefixIndex::default();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_failing_holder_gives_nothing() {
+fn an_unhealthy_holder_is_not_copied_from() {
     let mut candidates: Vec<_> = (0..18).map(|i| candidate(i, 4)).collect();
     candidates[7].is_healthy = false;
     let mut prefixes = prefix::PrefixIndex::default();
@@ -92,7 +92,7 @@
     assert_ne!(choice.copy_from, Some(id(7)));
 }
 
-/// A planned replacement: the holder takes no more requests and gives its cache to others.
+/// A planned replacement: the holder takes no new requests, and others copy from its cache.
 #[test]
 fn a_leaving_holder_is_copied_from() {
     let candidates: Vec<_> = (0..18).map(|i| candidate(i, 4)).collect();
@@ -103,13 +103,13 @@
     assert_eq!(choice.read_tokens, 1_300);
 }
 
-/// Hosts that know of no holder yet agree on one, so that a prompt is read once.
+/// Hosts without a recorded holder agree on the home, so that a prompt is prefilled once.
 #[test]
-fn hosts_agree_on_the_first_reader() {
+fn hosts_agree_on_the_home_of_a_new_prompt() {
     let on_one: Vec<_> = (0..18).map(|i| candidate(i, 3)).collect();
     let mut on_other: Vec<_> = (0..18).map(|i| candidate(i, 3)).collect();
     for (i, candidate) in on_other.iter_mut().enumerate() {
-        // Another host counts its endpoints in another order.
+        // Endpoint ids are local to a host, so another host numbers the endpoints differently.
         candidate.endpoint = id(17 - i as u32);
     }
     let prefixes = prefix::PrefixIndex::default();
@@ -118,10 +118,11 @@
     assert_eq!(id(17 - one.endpoint.as_u32()), other.endpoint);
 }
 
-/// A grown deployment that lost half of its engines: all hosts compare endpoints by the same digests
-/// for some 300 ms, and sent everything that its homes could not take to the least loaded one.
+/// Guards against herding: for about 300 ms all hosts see the same load reports. In a large
+/// deployment that had lost half of its engines, they sent all requests that the homes could not
+/// take to the same least loaded endpoint.
 #[test]
-fn hosts_with_the_same_digests_do_not_all_choose_the_same_endpoint() {
+fn hosts_with_the_same_load_reports_do_not_all_choose_the_same_endpoint() {
     let mut candidates: Vec<_> = (0..72).map(|i| candidate(i, 14)).collect();
     candidates.iter_mut().for_each(|c| c.slots = 12);
     candidates[5].load.own.requests = 6;
@@ -141,7 +142,7 @@
 
 /// A burst of calls to a service with few slots is spread evenly.
 #[test]
-fn calls_go_to_the_endpoint_with_the_fewest() {
+fn calls_go_to_the_endpoint_with_the_fewest_in_flight() {
     let mut candidates: Vec<_> = (0..3).map(|i| candidate(i, 0)).collect();
     candidates.iter_mut().for_each(|c| c.slots = 6);
     let prefixes = prefix::PrefixIndex::default();
@@ -156,8 +157,8 @@
     assert!(candidates.iter().all(|c| c.load.own.requests == 10));
 }
 
-/// A new contract shares its first part with others: who holds that part is no reason to have the
-/// contract read elsewhere than at its home.
+/// A new prompt shares its first part with others. A recorded holder of that part alone must not
+/// draw the prompt away from its home.
 #[test]
 fn a_holder_of_the_first_part_alone_does_not_replace_the_home() {
     let candidates: Vec<_> = (0..140).map(|i| candidate(i, 1)).collect();
@@ -171,10 +172,11 @@
     assert_eq!(choice.endpoint, home);
 }
 
-/// An incident of Lombardy: the last endpoint of a service stood in a domain that was cut off, and
-/// each request waited for a connection that could not be made.
+/// Guards against requests that queue for a dead endpoint: in the Lombardy deployment, the last
+/// endpoint of a service was in a partitioned domain, and each request waited for a connection
+/// that could not be made.
 #[test]
-fn requests_for_unreachable_endpoints_are_refused_while_one_tries() {
+fn requests_for_unreachable_endpoints_are_refused_while_one_tries_to_connect() {
     let prefixes = prefix::PrefixIndex::default();
     let caches = Caches {
         prefixes: &prefixes,
@@ -198,7 +200,7 @@
 }
 
 #[test]
-fn parts_are_told_to_other_hosts_once_in_a_while() {
+fn parts_are_announced_to_other_hosts_once_per_interval() {
     let mut prefixes = prefix::PrefixIndex::default();
     assert_eq!(prefixes.record_use(&contract(b"one"), id(1), NOW).len(), 2);
     assert!(
