--- a/crates/core/src/queue/entry.rs
+++ b/crates/core/src/queue/entry.rs
@@ -1,19 +1,19 @@
-//! What goes into a queue and what comes out of it.
+//! Entries of a queue, and the results of its operations.
 
 use std::time::Duration;
 
 use crate::{name, reason, time, units};
 
-/// A request that waits for its endpoint.
+/// A queued request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry<T> {
     /// Account that the request is charged to.
     pub account: name::AccountName,
     /// Weight of the account, from its plan. Zero counts as one.
     pub weight: u32,
-    /// Order among the entries of the account; larger is served earlier.
+    /// Order among the entries of the account; a higher priority is served earlier.
     pub priority: u8,
-    /// Estimated work.
+    /// Estimated work, in tokens.
     pub cost: units::Tokens,
     /// Latest time at which the request may start.
     pub deadline: time::Time,
@@ -21,14 +21,14 @@
     pub item: T,
 }
 
-/// A request that the queue gave back. It was not run.
+/// A request that the queue refused or dropped. It was not run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refused<T> {
     /// The request.
     pub entry: Entry<T>,
-    /// Why it was given back: [`reason::Refusal::QueueFull`] or [`reason::Refusal::Deadline`].
+    /// Why it was refused: [`reason::Refusal::QueueFull`] or [`reason::Refusal::Deadline`].
     pub reason: reason::Refusal,
-    /// Delay after which the work that is queued now has been served.
+    /// Expected time to serve the work that is queued now, from 1 to 60 seconds.
     pub retry_after: Duration,
 }
 
@@ -37,6 +37,6 @@
 pub struct Popped<T> {
     /// The request to serve next.
     pub next: Option<Entry<T>>,
-    /// Requests that can no longer start in time.
+    /// Requests that can no longer start before their deadline.
     pub refused: Vec<Refused<T>>,
 }
--- a/crates/core/src/queue/fair.rs
+++ b/crates/core/src/queue/fair.rs
@@ -1,4 +1,4 @@
-//! The queue itself.
+//! Weighted fair queue with bounds and deadlines.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -10,22 +10,22 @@
 use super::virtual_time::VirtualTime;
 use crate::{name, reason, time, units};
 
-/// Shortest delay that a refusal states.
+/// Minimum `retry_after` of a refusal.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Longest delay that a refusal states.
+/// Maximum `retry_after` of a refusal.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// Accounts without entries whose tag is kept. Beyond this the smallest tags are forgotten.
+/// Maximum accounts without entries whose tag is kept. The smallest tags are evicted first.
 const MAX_IDLE_ACCOUNTS: usize = 1024;
 
-/// Lengths at which a queue refuses.
+/// Bounds on the length of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Entries in the queue.
+    /// Maximum entries in the queue.
     pub entries: usize,
-    /// Entries of one account.
+    /// Maximum entries of one account.
     pub account_entries: usize,
 }
 
@@ -50,9 +50,9 @@
 #[derive(Debug)]
 pub struct FairQueue<T> {
     bounds: Bounds,
-    /// Largest tag that was served. Never goes back.
+    /// Largest tag served so far. Never decreases.
     virtual_time: VirtualTime,
-    /// Accounts with entries, and accounts without whose tag is ahead of the virtual time.
+    /// Accounts with entries, and idle accounts whose tag is ahead of the virtual time.
     flows: BTreeMap<name::AccountName, Flow<T>>,
     /// Entries over all accounts. Invariant: at most `bounds.entries`.
     len: usize,
@@ -84,7 +84,7 @@
         self.len == 0
     }
 
-    /// Work queued, by the estimates.
+    /// Estimated tokens of all entries.
     #[must_use]
     pub fn cost(&self) -> units::Tokens {
         self.flows.values().map(|flow| flow.cost).sum()
@@ -92,13 +92,13 @@
 
     /// Adds an entry.
     ///
-    /// When the queue is full, the newest entry of the account that has the most queued for its
-    /// weight is given back in the place of this one.
+    /// When the queue is full, the last entry of the account with the largest backlog for its
+    /// weight is dropped instead, and returned.
     ///
     /// # Errors
     ///
-    /// Gives the entry back if it would start after its deadline, if its account is at its bound,
-    /// or if the queue is full and no other account has more queued for its weight.
+    /// Returns the entry if it would start after its deadline, if its account is at its bound, or
+    /// if the queue is full and no other account has a larger backlog for its weight.
     pub fn push(
         &mut self,
         now: time::Time,
@@ -129,7 +129,7 @@
         Ok(Some(self.refuse(now, entry, reason::Refusal::QueueFull)))
     }
 
-    /// The request to serve next.
+    /// Returns the request to serve next.
     #[must_use]
     pub fn next_item(&self) -> Option<&T> {
         let position = self.service_order().next()?;
@@ -137,14 +137,14 @@
         flow.entries.get(position.index).map(|entry| &entry.item)
     }
 
-    /// Takes the entry to serve next, after those that can no longer start in time.
+    /// Removes the entry to serve next, after refusing the entries that would miss their deadline.
     pub fn pop(&mut self, now: time::Time) -> Popped<T> {
         let refused = self.expire(now);
         let next = self.pop_front(now);
         Popped { next, refused }
     }
 
-    /// Takes the entries that would start after their deadline.
+    /// Removes the entries that would start after their deadline.
     pub fn expire(&mut self, now: time::Time) -> Vec<Refused<T>> {
         let mut late = Vec::new();
         let mut ahead = units::Tokens::ZERO;
@@ -155,7 +155,7 @@
                 ahead += position.cost;
             }
         }
-        // Later places first, so that the earlier ones of an account keep their index.
+        // Higher indexes first, so that the lower ones of an account stay valid.
         late.sort_by(|a, b| b.cmp(a));
         let entries: Vec<_> = late
             .iter()
@@ -167,7 +167,7 @@
             .collect()
     }
 
-    /// Moves an account's place by the difference of the work that was estimated and used.
+    /// Adjusts an account's tag by the difference between the work that was used and estimated.
     pub fn correct(
         &mut self,
         account: &name::AccountName,
@@ -188,7 +188,7 @@
         self.evict_idle();
     }
 
-    /// Takes the entries for which `matches` holds, without charging their accounts.
+    /// Removes the entries for which `matches` holds, without charging their accounts.
     pub fn remove<F>(&mut self, mut matches: F) -> Vec<Entry<T>>
     where
         F: FnMut(&T) -> bool,
@@ -207,7 +207,7 @@
             .collect()
     }
 
-    /// Takes every entry, without charging the accounts.
+    /// Removes all entries, without charging their accounts.
     pub fn drain(&mut self) -> Vec<Entry<T>> {
         self.remove(|_| true)
     }
@@ -229,7 +229,7 @@
         Some(entry)
     }
 
-    /// Adds an entry and returns its place among those of its account.
+    /// Adds an entry and returns its index among those of its account.
     fn insert(&mut self, now: time::Time, entry: Entry<T>) -> usize {
         let tag = self.virtual_time;
         let flow = self
@@ -244,7 +244,7 @@
         flow.insert(entry)
     }
 
-    /// Removes an entry that is known to be queued, without charging its account.
+    /// Removes an entry that is queued, without charging its account.
     fn remove_at(&mut self, account: &name::AccountName, index: usize) -> Entry<T> {
         let entry = self
             .flows
@@ -263,7 +263,7 @@
         self.flows.get(account).map_or(0, |flow| flow.entries.len())
     }
 
-    /// Account with the most queued for its weight. `account` wins a tie.
+    /// Account with the largest backlog for its weight. `account` wins a tie.
     fn longest_flow(&self, account: &name::AccountName) -> name::AccountName {
         self.flows
             .iter()
@@ -275,7 +275,7 @@
         self.flows[account].entries[index].deadline
     }
 
-    /// Time at which the entry at a place is expected to start.
+    /// Expected start of a queued entry.
     fn expected_start(
         &self,
         now: time::Time,
@@ -290,7 +290,7 @@
         now + self.rate.time_for(now, ahead)
     }
 
-    /// Places in the order in which they would be served if nothing else arrived.
+    /// Entries in the order in which they would be served if nothing else arrived.
     fn service_order(&self) -> impl Iterator<Item = Position> {
         let mut heads: BinaryHeap<_> = self
             .flows
@@ -315,7 +315,8 @@
         })
     }
 
-    /// Forgets accounts without entries whose place no longer differs from a newcomer's.
+    /// Evicts accounts without entries whose tag would be the same for a new account, and the one
+    /// with the smallest tag if more than [`MAX_IDLE_ACCOUNTS`] remain.
     fn evict_idle(&mut self) {
         let now = self.virtual_time;
         self.flows
--- a/crates/core/src/queue/flow.rs
+++ b/crates/core/src/queue/flow.rs
@@ -1,4 +1,4 @@
-//! Entries of one account.
+//! Queue of one account.
 
 use std::collections::VecDeque;
 
@@ -6,14 +6,14 @@
 use super::virtual_time::VirtualTime;
 use crate::units;
 
-/// Entries of one account and its place in virtual time.
+/// Entries of one account, and its tag in virtual time.
 #[derive(Debug)]
 pub(super) struct Flow<T> {
-    /// Virtual time at which the next entry starts.
+    /// Start tag of the next entry.
     pub(super) tag: VirtualTime,
-    /// Weight that the last entry stated.
+    /// Weight of the account, as in the last entry added.
     pub(super) weight: u32,
-    /// Entries in their order of service. Invariant: priorities do not increase.
+    /// Entries in order of service. Invariant: priorities do not increase.
     pub(super) entries: VecDeque<Entry<T>>,
     /// Sum of the entries' costs.
     pub(super) cost: units::Tokens,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Adds an entry behind those of the same priority and returns its place.
+    /// Adds an entry behind those of the same priority and returns its index.
     pub(super) fn insert(&mut self, entry: Entry<T>) -> usize {
         let index = self
             .entries
@@ -40,14 +40,14 @@
         index
     }
 
-    /// Removes the entry at a place.
+    /// Removes the entry at an index.
     pub(super) fn remove(&mut self, index: usize) -> Option<Entry<T>> {
         let entry = self.entries.remove(index)?;
         self.cost -= entry.cost;
         Some(entry)
     }
 
-    /// Work queued for the account's weight.
+    /// Queued work divided by the account's weight.
     pub(super) fn backlog(&self) -> VirtualTime {
         VirtualTime::span(self.cost, self.weight)
     }
--- a/crates/core/src/queue/rate.rs
+++ b/crates/core/src/queue/rate.rs
@@ -4,27 +4,28 @@
 
 use crate::{time, units};
 
-/// Span over which the rate is measured, in microseconds. Older measurements count half.
+/// Measured time after which all measurements are halved, in microseconds, so that older ones
+/// lose weight.
 const WINDOW_MICROS: u64 = 8_000_000;
 
-/// Work served a second while work was queued.
+/// Work served per second of the time during which work was queued.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DrainRate {
-    /// Work served in the window.
+    /// Work served, halved together with `busy_micros`.
     served: units::Tokens,
-    /// Time in the window during which work was queued, in microseconds.
+    /// Time during which work was queued, in microseconds.
     busy_micros: u64,
-    /// Time up to which the window counts, or `None` while nothing is queued.
+    /// Time up to which `busy_micros` is measured, or `None` while nothing is queued.
     measured_until: Option<time::Time>,
 }
 
 impl DrainRate {
-    /// Notes that the queue has work from now on.
+    /// Starts the measurement if the queue was empty.
     pub(super) fn start(&mut self, now: time::Time) {
         self.measured_until.get_or_insert(now);
     }
 
-    /// Notes that work was served, and whether more is queued.
+    /// Records that work was served. `more` is whether work is still queued.
     pub(super) fn serve(&mut self, now: time::Time, work: units::Tokens, more: bool) {
         self.busy_micros += self.unmeasured_micros(now);
         self.served += work;
@@ -35,12 +36,12 @@
         }
     }
 
-    /// Notes that the queue was emptied without service.
+    /// Stops the measurement because the queue was emptied without service.
     pub(super) fn stop(&mut self) {
         self.measured_until = None;
     }
 
-    /// Expected time to serve the work, or zero while no rate is known.
+    /// Expected time to serve `work`, or zero until some work has been served.
     pub(super) fn time_for(&self, now: time::Time, work: units::Tokens) -> Duration {
         if self.served == units::Tokens::ZERO {
             return Duration::ZERO;
@@ -50,7 +51,8 @@
         Duration::from_micros(u64::try_from(micros).unwrap_or(u64::MAX))
     }
 
-    /// Time with queued work that no service has closed yet, in microseconds.
+    /// Time with queued work since the last service, in microseconds. It counts in an estimate, so
+    /// that the rate falls while an endpoint stalls.
     fn unmeasured_micros(&self, now: time::Time) -> u64 {
         self.measured_until
             .map_or(0, |from| now.since(from).as_micros() as u64)
--- a/crates/core/tests/queue.rs
+++ b/crates/core/tests/queue.rs
@@ -6,7 +6,7 @@
 use pistachiochute_core::{name, queue, reason, time, units};
 use proptest::prelude::*;
 
-const LARGEST: u64 = 1_000;
+const MAX_COST: u64 = 1_000;
 
 fn account(i: usize) -> name::AccountName {
     format!("account-{i}").parse().unwrap()
@@ -35,19 +35,19 @@
 proptest! {
     #![proptest_config(config(100))]
 
-    /// Accounts that were backlogged from the start never differ by more than one largest
-    /// request over the smallest weight.
+    /// Accounts that stay backlogged differ in weighted service by at most the cost of the largest
+    /// request divided by the smallest weight.
     #[test]
     fn service_gap_is_one_largest_request(
         weights in proptest::collection::vec(1_u32..5, 2..6),
-        costs in proptest::collection::vec(1_u64..=LARGEST, 60),
+        costs in proptest::collection::vec(1_u64..=MAX_COST, 60),
     ) {
         let bounds = queue::Bounds { entries: 4_096, account_entries: 4_096 };
         let mut q = queue::FairQueue::new(bounds);
         let now = time::Time::ZERO;
         for (n, cost) in costs.iter().enumerate() {
             for (i, weight) in weights.iter().enumerate() {
-                let cost = 1 + (cost * (i as u64 + 7)) % LARGEST;
+                let cost = 1 + (cost * (i as u64 + 7)) % MAX_COST;
                 q.push(now, entry(i, *weight, cost, n as u64)).unwrap();
             }
         }
@@ -55,16 +55,17 @@
         let smallest = f64::from(*weights.iter().min().unwrap());
         for _ in 0..costs.len() {
             let popped = q.pop(now).next.unwrap();
-            *served.get_mut(&popped.account).unwrap() += popped.cost.0 as f64 / f64::from(popped.weight);
+            *served.get_mut(&popped.account).unwrap() +=
+                popped.cost.0 as f64 / f64::from(popped.weight);
             let most = served.values().copied().fold(0.0, f64::max);
             let least = served.values().copied().fold(f64::MAX, f64::min);
-            prop_assert!(most - least <= LARGEST as f64 / smallest + 1e-6);
+            prop_assert!(most - least <= MAX_COST as f64 / smallest + 1e-6);
         }
     }
 
-    /// Each entry comes out exactly once, whatever the calls, and the bounds hold.
+    /// Each entry is returned exactly once under any sequence of calls, and the bounds hold.
     #[test]
-    fn conserves_entries(
+    fn each_entry_is_returned_exactly_once(
         ops in proptest::collection::vec((0_u8..10, 0_usize..6, 1_u64..500, 0_u64..3_000), 1..400),
     ) {
         let bounds = queue::Bounds { entries: 16, account_entries: 6 };
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn idle_account_is_served_next_behind_a_surge() {
+fn an_idle_account_is_not_delayed_by_the_backlog_of_another() {
     let mut q = queue::FairQueue::new(queue::Bounds::default());
     let now = time::Time::ZERO;
     for n in 0..50 {
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn full_queue_drops_from_the_account_with_the_most() {
+fn full_queue_drops_from_the_account_with_the_largest_backlog() {
     let bounds = queue::Bounds {
         entries: 8,
         account_entries: 8,
@@ -139,12 +140,12 @@
 }
 
 #[test]
-fn refuses_at_once_what_would_start_too_late() {
+fn refuses_entries_that_would_miss_their_deadline() {
     let mut q = queue::FairQueue::new(queue::Bounds::default());
     for n in 0..20 {
         q.push(time::Time::ZERO, entry(0, 1, 100, n)).unwrap();
     }
-    // Serves 100 tokens a second.
+    // Drains 100 tokens per second.
     for s in 1..=10 {
         q.pop(time::Time::from_secs(s));
     }
@@ -165,7 +166,7 @@
 }
 
 #[test]
-fn gives_back_queued_entries_when_the_endpoint_stalls() {
+fn refuses_queued_entries_when_the_endpoint_stalls() {
     let mut q = queue::FairQueue::new(queue::Bounds::default());
     for n in 0..4 {
         let deadline = time::Time::from_secs(8);
@@ -185,12 +186,16 @@
         .iter()
         .map(|r| r.entry.item)
         .collect();
-    assert_eq!(late, [3], "two served before it at a quarter of the rate");
+    assert_eq!(
+        late,
+        [3],
+        "the two entries before it drain at a quarter of the rate"
+    );
     assert_eq!(q.len(), 2);
 }
 
 #[test]
-fn used_tokens_move_the_account_back() {
+fn tokens_used_beyond_the_estimate_delay_the_account() {
     let mut q = queue::FairQueue::new(queue::Bounds::default());
     let now = time::Time::ZERO;
     for n in 0..20 {
@@ -205,7 +210,7 @@
 }
 
 #[test]
-fn priority_orders_within_an_account_only() {
+fn priority_orders_entries_within_an_account_only() {
     let mut q = queue::FairQueue::new(queue::Bounds::default());
     let now = time::Time::ZERO;
     q.push(now, entry(0, 1, 100, 1)).unwrap();
