--- a/crates/core/src/owner/endpoint.rs
+++ b/crates/core/src/owner/endpoint.rs
@@ -1,4 +1,4 @@
-//! Work that runs and waits at one endpoint.
+//! State of one owned endpoint: running and queued work.
 
 use std::collections::BTreeMap;
 
@@ -15,20 +15,20 @@
     load: u64,
 }
 
-/// Work that waits.
+/// Queued work.
 #[derive(Debug)]
 pub struct Waiting {
     pub id: AttemptId,
-    /// Estimated work in the unit of the endpoint's load.
+    /// Estimated load, in the unit of the endpoint's class.
     pub load: u64,
-    /// Endpoints over which the mean load is taken.
+    /// Endpoints whose mean load the bound is relative to.
     pub pool: SmallVec<[entity::EndpointId; 8]>,
 }
 
-/// Work at one endpoint.
+/// Running and queued work at one endpoint.
 #[derive(Debug)]
 pub struct EndpointState {
-    /// Requests that the endpoint runs at once.
+    /// Requests that the endpoint runs concurrently.
     slots: usize,
     open: bool,
     running: BTreeMap<AttemptId, Running>,
@@ -62,7 +62,7 @@
         self.running.len() + self.queue.len()
     }
 
-    /// Estimated work that runs.
+    /// Estimated load of the running work.
     pub fn running_load(&self) -> u64 {
         self.running.values().map(|running| running.load).sum()
     }
@@ -71,7 +71,7 @@
         !self.queue.is_empty()
     }
 
-    /// Dispatches, queues or refuses new work. `fits` is whether the bound allows it now.
+    /// Dispatches, queues or refuses new work. `fits` is whether the load bound allows it now.
     pub fn offer(&mut self, now: time::Time, work: Work, fits: bool) -> Effects {
         if fits && self.queue.is_empty() && self.running.len() < self.slots {
             let id = work.id;
@@ -116,7 +116,7 @@
         effects
     }
 
-    /// Ends running work and returns the load that it was.
+    /// Ends running work and returns its load, or `None` if it is not running.
     pub fn finish(&mut self, id: AttemptId, used: Option<units::Tokens>) -> Option<u64> {
         let ended = self.running.remove(&id)?;
         if let Some(used) = used {
@@ -144,14 +144,14 @@
         self.queue.drain().into_iter().map(refuse).collect()
     }
 
-    /// The queued work to start next, if a slot is free.
+    /// Queued work to start next, or `None` if no slot is free.
     pub fn next_startable(&self) -> Option<&Waiting> {
         let free = self.running.len() < self.slots;
         self.queue.next_item().filter(|_| free)
     }
 
-    /// Starts the queued work that is next and returns its load, or `None` if none can start in
-    /// time.
+    /// Starts the next queued work and returns its load, or `None` if no entry can start before
+    /// its deadline.
     pub fn start_next(&mut self, now: time::Time, effects: &mut Effects) -> Option<u64> {
         let popped = self.queue.pop(now);
         effects.extend(popped.refused.into_iter().map(refused));
--- a/crates/core/src/owner/mod.rs
+++ b/crates/core/src/owner/mod.rs
@@ -1,9 +1,9 @@
 //! Work at the endpoints that a host owns: admission, queueing and completion.
 //!
-//! The owner is the one host that calls an endpoint. Work is admitted while the endpoint has a
-//! free slot and its load stays within the [bound](crate::routing::bound) of its pool; otherwise
-//! it is refused before running or waits in the endpoint's queue, which keeps to the same bound.
-//! Each method gives the work that has to be dispatched or refused now as [`Effect`]s.
+//! The owner of an endpoint is the only host that sends requests to it. Work is admitted while the
+//! endpoint has a free slot and its load stays within the [bound](crate::routing::bound) of its
+//! pool. Other work waits in the endpoint's queue, which is dispatched under the same rule, or is
+//! refused. Methods return the work to dispatch, or to report as queued or refused, as [`Effect`]s.
 //!
 //! Loads of engines and of services have different units, so each [`Class`] has its own pool.
 
@@ -15,10 +15,10 @@
 use crate::routing::bound::pool;
 use crate::{entity, map, name, queue, reason, request, time, topology, units};
 
-/// Work that an entry host offers for one endpoint.
+/// An attempt of a request that an entry host offers to the owner of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Work {
-    /// Attempt of a request, which the effects name.
+    /// The attempt, by which effects refer to the work.
     pub id: AttemptId,
     /// Account that the work is charged to.
     pub account: name::AccountName,
@@ -26,11 +26,11 @@
     pub weight: u32,
     /// Priority within the account.
     pub priority: u8,
-    /// Estimated tokens, by which the queue is fair.
+    /// Estimated tokens, the cost in the fair queue.
     pub cost: units::Tokens,
-    /// Estimated work in the unit of the endpoint's load.
+    /// Estimated load, in the unit of the endpoint's class.
     pub load: u64,
-    /// Endpoints that serve the same target, over which the mean load is taken.
+    /// Endpoints that serve the same target. The bound is relative to their mean load.
     pub pool: SmallVec<[entity::EndpointId; 8]>,
     /// Latest time at which the work may start.
     pub deadline: time::Time,
@@ -47,42 +47,42 @@
     pub attempt: u8,
 }
 
-/// What has to be done with offered work.
+/// What the caller has to do with offered work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// The work is sent to the endpoint now.
+    /// Send the work to the endpoint now.
     Dispatch(AttemptId),
-    /// The work waits behind others.
+    /// Tell the entry host that the work is queued.
     Queued {
         /// The work.
         id: AttemptId,
-        /// Entries in the queue before it.
+        /// Number of entries that were queued before it.
         ahead: u32,
     },
-    /// The work was not run and will not be.
+    /// Refuse the work. It was not run and will not be.
     Refuse {
         /// The work.
         id: AttemptId,
-        /// Why.
+        /// Reason of the refusal.
         reason: reason::Refusal,
-        /// Delay after which it may be offered again.
+        /// Delay after which it may be offered again, if known.
         retry_after: Option<std::time::Duration>,
     },
 }
 
-/// Effects of one call, mostly one or two.
+/// Effects of one call, usually one or two.
 pub type Effects = SmallVec<[Effect; 2]>;
 
 /// Settings of an owner.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Bound of the load.
+    /// Load bound of the pools.
     pub bound: bound::Settings,
-    /// Lengths at which a queue refuses.
+    /// Bounds on the length of each queue.
     pub queue: queue::Bounds,
 }
 
-/// Kind of an endpoint, by the unit of its load.
+/// Class of an endpoint, which determines the unit of its load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
     /// A model engine, whose load is in generated tokens.
@@ -102,7 +102,7 @@
     }
 }
 
-/// The endpoints that one host owns, and the work at them.
+/// The endpoints that one host owns, with the work at each, and the loads of its domain.
 #[derive(Debug)]
 pub struct Owner {
     cfg: Config,
@@ -125,27 +125,27 @@
         }
     }
 
-    /// Adds an endpoint of the host's domain, whose load counts in the mean.
+    /// Adds an endpoint of the host's domain to the pool of its class.
     pub fn join(&mut self, now: time::Time, endpoint: entity::EndpointId, class: Class) {
         self.classes.insert(endpoint, class);
         self.pool_mut(class).join(endpoint, now);
     }
 
-    /// Removes an endpoint that takes no new work from the mean.
+    /// Removes an endpoint from its pool, because it takes no new work.
     pub fn leave(&mut self, endpoint: entity::EndpointId) {
         if let Some(class) = self.classes.remove(endpoint) {
             self.pool_mut(class).leave(endpoint);
         }
     }
 
-    /// Endpoints whose load counts in a mean.
+    /// Endpoints in the pools.
     pub fn members(&self) -> impl Iterator<Item = entity::EndpointId> {
         self.classes.keys()
     }
 
-    /// Starts or updates the work at an endpoint that the host owns. Returns whether the host
-    /// took the endpoint over: no work is sent to it until [`Owner::handed_over`] or the end of
-    /// the grace period.
+    /// Opens an endpoint that the host owns, or updates its slots. Returns whether the host took
+    /// ownership with this call: no work is sent to the endpoint until [`Owner::handed_over`] or
+    /// the end of the grace period.
     pub fn open(
         &mut self,
         now: time::Time,
@@ -165,13 +165,13 @@
             return false;
         }
         pool.take_over(endpoint, 0, now);
-        // What the host still runs from an earlier time as the owner.
+        // Work that still runs from an earlier period of ownership.
         pool.add_in_flight(endpoint, running);
         true
     }
 
-    /// Notes that no other host admits to an endpoint any more and that others left `load` in
-    /// flight there. Called again when that load changes.
+    /// Completes the handover of an endpoint: no other host admits work to it any more, and other
+    /// hosts have a residual load of `load` in flight there. Called again when that load changes.
     pub fn handed_over(
         &mut self,
         now: time::Time,
@@ -184,7 +184,7 @@
         self.dispatch_queued_at(now, endpoint)
     }
 
-    /// Stops taking new work for an endpoint and refuses what waits for it. Running work goes on.
+    /// Gives up an endpoint: refuses its queued work and takes no new work. Running work goes on.
     pub fn close(
         &mut self,
         now: time::Time,
@@ -212,7 +212,7 @@
             .is_some_and(endpoint::EndpointState::is_open)
     }
 
-    /// Takes in what another host says of the load of an endpoint that it owns.
+    /// Updates the view of the load of an endpoint that another host owns.
     pub fn update_view(
         &mut self,
         now: time::Time,
@@ -239,7 +239,8 @@
         effects
     }
 
-    /// Ends running work and starts what waits behind it.
+    /// Ends running work and dispatches queued work of the endpoint. `used` is the actual token
+    /// count, if known.
     pub fn finish(
         &mut self,
         now: time::Time,
@@ -260,15 +261,15 @@
         self.dispatch_queued_at(now, endpoint)
     }
 
-    /// Takes work out of the queue, because its caller went away.
+    /// Removes work from the queue, because its caller is gone. Returns whether it was queued.
     pub fn cancel(&mut self, endpoint: entity::EndpointId, id: AttemptId) -> bool {
         self.endpoints
             .get_mut(endpoint)
             .is_some_and(|state| state.cancel(id))
     }
 
-    /// Starts queued work for which room was made elsewhere: by a mean that rose or by a grace
-    /// period that ended.
+    /// Dispatches queued work that became admissible without a call for its endpoint, because the
+    /// mean load rose or a grace period ended.
     pub fn dispatch_queued(&mut self, now: time::Time) -> Effects {
         let open: SmallVec<[entity::EndpointId; 8]> = self
             .endpoints
@@ -281,9 +282,10 @@
             .collect()
     }
 
-    /// Starts queued work of an endpoint while it has a free slot and the bound allows.
+    /// Dispatches queued work of an endpoint while it has a free slot and the bound allows it.
     fn dispatch_queued_at(&mut self, now: time::Time, endpoint: entity::EndpointId) -> Effects {
-        // What is late goes first, so that the work that is checked is the one that starts.
+        // Expired work is refused first, so that the entry checked against the bound is the one
+        // that `start_next` pops.
         let mut effects = match self.endpoints.get_mut(endpoint) {
             Some(state) => state.expire(now),
             None => return Effects::new(),
@@ -311,7 +313,7 @@
         effects
     }
 
-    /// Refuses the queued work whose deadline can no longer be met.
+    /// Refuses queued work that can no longer start before its deadline.
     pub fn expire(&mut self, now: time::Time) -> Effects {
         self.endpoints
             .iter_mut()
@@ -336,14 +338,14 @@
             .map(|(endpoint, _)| endpoint)
     }
 
-    /// Loads of the endpoints that the host owns and has taken over whole.
+    /// Loads of the owned endpoints whose handover is complete or whose grace period is over.
     pub fn owned_loads(&self) -> impl Iterator<Item = (entity::EndpointId, u64)> {
         self.engines
             .owned_loads()
             .chain(self.services.owned_loads())
     }
 
-    /// Load that this host has in flight at endpoints that it gave up.
+    /// Load that this host still has in flight at an endpoint that it gave up.
     #[must_use]
     pub fn residual_load(&self, endpoint: entity::EndpointId) -> u64 {
         self.endpoints
@@ -352,7 +354,7 @@
             .map_or(0, endpoint::EndpointState::running_load)
     }
 
-    /// Work that runs and waits over all endpoints, in requests.
+    /// Number of requests that run or wait, over all endpoints.
     #[must_use]
     pub fn len(&self) -> usize {
         self.endpoints
@@ -361,13 +363,13 @@
             .sum()
     }
 
-    /// Whether no work runs or waits.
+    /// Whether no request runs or waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Whether the bound allows more load at an endpoint whose mean is taken over `members`.
+    /// Whether the bound relative to the mean load of `members` allows `load` more at an endpoint.
     fn fits(
         &self,
         now: time::Time,
--- a/crates/core/tests/owner.rs
+++ b/crates/core/tests/owner.rs
@@ -1,4 +1,4 @@
-//! Work at owned endpoints: bound, queue and handover.
+//! Work at owned endpoints: load bound, queue and handover of ownership.
 
 use std::time::Duration;
 
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn nothing_starts_before_the_handover_and_the_queue_starts_with_it() {
+fn nothing_is_dispatched_before_the_handover_and_the_queue_is_dispatched_with_it() {
     let mut owner = owner();
     let now = time::Time::from_millis(10);
     let refused = owner.offer(now, endpoint(0), work(1, 100, false));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_grace_period_ends_the_wait_for_an_owner_that_is_gone() {
+fn the_grace_period_ends_the_wait_for_a_silent_former_owner() {
     let mut owner = owner();
     let now = time::Time::from_millis(10);
     owner.offer(now, endpoint(0), work(1, 100, true));
@@ -106,14 +106,14 @@
 }
 
 #[test]
-fn queued_work_keeps_to_the_bound_and_starts_when_the_mean_rises() {
+fn queued_work_is_bounded_and_dispatched_when_the_mean_rises() {
     let mut owner = owner();
     let now = time::Time::from_millis(10);
     owner.handed_over(now, endpoint(0), 0);
     view(&mut owner, now, 1_000);
     let offers = (0..20).map(|number| owner.offer(now, endpoint(0), work(number, 100, true)));
     let started: usize = offers.collect::<Vec<_>>().iter().map(dispatched).sum();
-    // 1600 is the largest load within 1.25 times the mean with 1000 at the other endpoint.
+    // 1600 is the largest load within 1.25 times the mean, with 1000 at the other endpoint.
     assert!((10..=16).contains(&started), "{started}");
     let later = now + Duration::from_millis(20);
     assert_eq!(dispatched(&owner.dispatch_queued(later)), 0);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn an_owner_that_gives_up_tells_what_it_left_until_it_has_ended() {
+fn a_former_owner_reports_its_residual_load_until_it_has_ended() {
     let mut owner = owner();
     let now = time::Time::from_millis(10);
     owner.handed_over(now, endpoint(0), 0);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_host_that_seems_gone_still_has_to_answer_or_outlast_the_grace_period() {
+fn a_host_that_is_down_still_has_to_answer_or_outlast_the_grace_period() {
     let mut handovers = handover::Handovers::default();
     handovers.claim(endpoint(0), [host(1), host(2)]);
     assert!(handovers.host_down(host(1)).is_empty());
