--- a/crates/core/src/routing/cache.rs
+++ b/crates/core/src/routing/cache.rs
@@ -1,29 +1,29 @@
-//! What each endpoint's prefix cache probably holds, folded from its cache events.
+//! Views of the endpoints' prefix caches, maintained from their cache events.
 //!
-//! An engine numbers its events. They arrive late, in any order and with gaps. A view applies
-//! them in order; an early event waits in a short buffer. When the buffer is full the missing
-//! event counts as lost, and the view asks for a listing of the cache. Until the listing comes the
-//! view goes on with what it has: a wrong entry costs one prefix read again, never a wrong answer.
+//! An engine numbers its events, which may arrive late, out of order or not at all. A view applies
+//! them in order and buffers events that arrive before an earlier one. When the buffer is full, the
+//! missing event counts as lost and the view requests a snapshot of the cache. Until the snapshot
+//! arrives, the view stays in use: a wrong entry costs one prefill, never a wrong answer.
 //!
-//! A view also notes what the owner itself sent to the endpoint, because a prefix is in the cache
-//! before its event arrives.
+//! A view also records the requests that the owner sends to the endpoint, because a prefix is
+//! cached before its event arrives.
 //!
-//! Memory is bounded: a view holds at most [`Settings::entries`] chats and forgets the ones that
-//! were used longest ago.
+//! Memory is bounded: a view holds at most [`Settings::entries`] chats and evicts the least
+//! recently used ones.
 
 use std::collections::BTreeMap;
 
 use crate::routing::lru;
 use crate::{request, units};
 
-/// Most events that wait for an earlier one.
+/// Maximum events that are buffered until an earlier one arrives.
 pub const MAX_BUFFERED_EVENTS: usize = 64;
 
 /// Settings of the cache views.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Most chats that the view of one endpoint holds.
+    /// Maximum chats in the view of one endpoint.
     pub entries: usize,
 }
 
@@ -44,48 +44,48 @@
         /// Length of the prefix.
         tokens: units::Tokens,
     },
-    /// The cache holds nothing of the chat any more.
+    /// The cache no longer holds a prefix of the chat.
     Evicted {
         /// Chat of the prefix.
         chat: request::ChatKey,
     },
-    /// The cache is empty, as after a restart of the engine.
+    /// The cache is empty, for example after a restart of the engine.
     Cleared,
 }
 
-/// A numbered change.
+/// A change with its sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Event {
-    /// Number of the event; an engine counts up by one.
+    /// Sequence number, which an engine increments by one.
     pub seq: u64,
     /// The change.
     pub change: Change,
 }
 
-/// What the view needs after an event.
+/// What the caller has to do after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowUp {
     /// Nothing.
     None,
-    /// A listing of the cache, because an event was lost.
+    /// Fetch a snapshot of the cache, because an event was lost.
     FetchSnapshot,
 }
 
-/// What one endpoint's prefix cache probably holds.
+/// View of one endpoint's prefix cache.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// Number of the next event, or `None` before the first event or listing.
+    /// Sequence number of the next event, or `None` before the first event or snapshot.
     next_seq: Option<u64>,
     /// Events that arrived before an earlier one. Invariant: at most [`MAX_BUFFERED_EVENTS`], all
-    /// after `next`.
+    /// after `next_seq`.
     buffered: BTreeMap<u64, Change>,
-    /// Length of the prefix of each chat.
+    /// Length of the cached prefix of each chat.
     prefixes: lru::LruMap<request::ChatKey, units::Tokens>,
     gaps: u64,
 }
 
 impl View {
-    /// Makes a view that holds nothing.
+    /// Makes an empty view.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Folds an event in. An event that was already applied is ignored.
+    /// Applies an event, or buffers it until the events before it have arrived. An event that was
+    /// already applied is ignored.
     pub fn apply_event(&mut self, event: Event) -> FollowUp {
         let next = *self.next_seq.get_or_insert(event.seq);
         if event.seq < next {
@@ -111,7 +112,8 @@
         FollowUp::FetchSnapshot
     }
 
-    /// Takes in a listing of the cache that shows every event before `next`.
+    /// Replaces the view by a snapshot that includes every event before `next`, then applies the
+    /// buffered events after it. A snapshot older than the view is ignored.
     pub fn load_snapshot<I>(&mut self, next: u64, entries: I)
     where
         I: IntoIterator<Item = (request::ChatKey, units::Tokens)>,
@@ -128,19 +130,20 @@
         self.apply_in_order(next);
     }
 
-    /// Notes that the owner sent a request of the chat to the endpoint.
+    /// Records that the owner sent a request to the endpoint, after which the prefix of the chat
+    /// has at least `tokens`.
     pub fn record_sent(&mut self, chat: request::ChatKey, tokens: units::Tokens) {
         let known = self.tokens(chat);
         self.prefixes.insert(chat, known.max(tokens));
     }
 
-    /// Length of the chat's prefix that the endpoint probably holds.
+    /// Length of the prefix of a chat that the endpoint probably holds.
     #[must_use]
     pub fn tokens(&self, chat: request::ChatKey) -> units::Tokens {
         self.prefixes.get(&chat).copied().unwrap_or_default()
     }
 
-    /// Chats that the endpoint probably holds, with the length of each prefix.
+    /// Chats in the view, with the length of each prefix.
     pub fn iter(&self) -> impl Iterator<Item = (request::ChatKey, units::Tokens)> {
         self.prefixes.iter().map(|(chat, tokens)| (*chat, *tokens))
     }
@@ -157,7 +160,7 @@
         self.prefixes.is_empty()
     }
 
-    /// Gaps in the events that a listing had to fill.
+    /// Number of gaps in the events that were skipped.
     #[must_use]
     pub fn gaps(&self) -> u64 {
         self.gaps
@@ -171,7 +174,7 @@
         self.next_seq = Some(next);
     }
 
-    /// Goes on with the first event after the lost ones.
+    /// Skips the lost events and continues with the first buffered one.
     fn skip_gap(&mut self) {
         self.gaps += 1;
         if let Some((&seq, _)) = self.buffered.first_key_value() {
--- a/crates/core/src/routing/lru.rs
+++ b/crates/core/src/routing/lru.rs
@@ -1,14 +1,15 @@
-//! Map with a capacity that forgets the entries used longest ago.
+//! Map with a fixed capacity that evicts the least recently used entry.
 
 use std::collections::BTreeMap;
 
-/// Map that holds at most a set number of entries.
+/// Map that evicts the least recently used entry when it exceeds its capacity. Only
+/// [`insert`](Self::insert) counts as a use.
 #[derive(Clone, Debug)]
 pub struct LruMap<K, V> {
     capacity: usize,
-    /// Value and tick of the last use. Invariant: at most `capacity` entries.
+    /// Value and tick of the last use of each key. Invariant: at most `capacity` entries.
     entries: BTreeMap<K, (V, u64)>,
-    /// Keys in the order of their last use. Invariant: one entry for each of `entries`.
+    /// Keys by the tick of their last use. Invariant: one entry for each key of `entries`.
     by_last_use: BTreeMap<u64, K>,
     tick: u64,
 }
@@ -28,7 +29,8 @@
         }
     }
 
-    /// Sets an entry, as the one used last. Returns the entry that was forgotten for it.
+    /// Inserts or replaces an entry, as the most recently used one. Returns the evicted entry, if
+    /// any.
     pub fn insert(&mut self, key: K, value: V) -> Option<(K, V)> {
         self.remove(&key);
         self.tick += 1;
@@ -54,7 +56,7 @@
         Some(value)
     }
 
-    /// Removes the entry used longest ago.
+    /// Removes the least recently used entry.
     pub fn pop_lru(&mut self) -> Option<(K, V)> {
         let (_, key) = self.by_last_use.pop_first()?;
         let (value, _) = self.entries.remove(&key)?;
@@ -67,7 +69,7 @@
         self.by_last_use.clear();
     }
 
-    /// Keys in order.
+    /// Entries in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.entries.iter().map(|(key, (value, _))| (key, value))
     }
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -1,10 +1,15 @@
-//! Choice of an endpoint for each request.
+//! Routing of requests through the hosts that own the endpoints.
 //!
-//! [`candidates`] gives the endpoints of a chat in order of preference. [`rendezvous`] is the
-//! hash behind that order and behind the ownership of endpoints. [`bound`] keeps the load of each
-//! endpoint within a multiple of the mean. [`cache`] knows which prefixes an endpoint probably
-//! holds, and [`spill`] weighs waiting for the holder against spilling with or without an import.
-//! [`work`] estimates what a request costs, and [`router`] puts these together for one host.
+//! - [`candidates`] ranks the endpoints of a chat, and [`rendezvous`] is the hash behind that rank
+//!   and behind the ownership of endpoints.
+//! - [`bound`] keeps the load of each endpoint within a multiple of the mean. [`report`] and
+//!   [`pacer`] are the load reports between hosts and their rate, and [`handover`] moves the
+//!   ownership of an endpoint from one host to another.
+//! - [`cache`] tracks the prefixes that an endpoint probably holds, and [`chat_locations`] the
+//!   chats that are not at their first candidate.
+//! - [`spill`] decides between waiting for the holder of a prefix and another endpoint, with or
+//!   without an import of the prefix. [`work`] estimates the load of a request.
+//! - [`router`] combines these for one host and target.
 
 pub mod bound;
 pub mod cache;
--- a/crates/core/src/routing/pacer.rs
+++ b/crates/core/src/routing/pacer.rs
@@ -1,8 +1,8 @@
-//! ReportPacer at which a host tells the others of its domain of changed loads.
+//! Rate limit of the load reports that a host sends to the others of its domain.
 //!
-//! Each report goes to every host that needs it, and the bytes are held to a budget. With few
-//! hosts a change is reported at once; with many the reports come at intervals, and the means are
-//! older. A mean over many endpoints also moves less.
+//! Each report goes to all these hosts, within a budget of bytes per second. With few hosts, a
+//! change is reported immediately. With many hosts, reports are sent at intervals and the means
+//! are older, but a mean over many endpoints also changes less.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Bytes a second that the reports of one host may use.
+    /// Budget of one host's reports, in bytes per second.
     pub bytes_per_s: u64,
-    /// Size of one report to one host, with the headers of every layer.
+    /// Size of a report to one host in bytes, including the headers of all network layers.
     pub report_bytes: u64,
-    /// Bytes that may be sent at once after a quiet time.
+    /// Bytes that may be sent in a burst when the budget is unused.
     pub burst_bytes: u64,
 }
 
@@ -33,22 +33,22 @@
 /// Interval at which a host reports loads that did not change.
 pub const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Reports that the budget must have room for before a host promises to report at once.
+/// Reports that must remain in the budget for a host to announce that it pushes changes.
 const PUSH_RESERVE_REPORTS: u64 = 8;
 
-/// ReportPacer of one host's load reports.
+/// Schedules the load reports of one host, as a token bucket in units of time.
 #[derive(Clone, Debug)]
 pub struct ReportPacer {
     settings: Settings,
-    /// Time at which the budget is whole again. The bytes used are the time until then.
+    /// Time at which the budget is full again. The used bytes correspond to the time until then.
     budget_full_at: time::Time,
-    /// Whether a report is due and not yet sent.
+    /// Whether a report is scheduled and not yet sent.
     pending: bool,
     sent_at: time::Time,
 }
 
 impl ReportPacer {
-    /// Makes the pace of a host that has sent nothing.
+    /// Makes a pacer with a full budget.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Time at which a changed load is reported to `peers` hosts, or `None` if a report is
-    /// already due or nobody needs one.
+    /// Schedules a report of a changed load to `peers` hosts and returns its time, or `None` if a
+    /// report is already scheduled or there are no peers.
     pub fn schedule(&mut self, peers: usize, now: time::Time) -> Option<time::Time> {
         if self.pending || peers == 0 {
             return None;
@@ -73,9 +73,9 @@
         Some((used_until - burst).max(now))
     }
 
-    /// Notes that the report that was due has been sent. Returns whether every further change
-    /// will be reported at once: the budget has room for [`PUSH_RESERVE_REPORTS`] more, so that a later
-    /// report can withdraw this before the budget runs out.
+    /// Records that the scheduled report was sent. Returns whether the host reports every further
+    /// change immediately. That takes budget for [`PUSH_RESERVE_REPORTS`] more reports, so that a
+    /// later report can withdraw the announcement before the budget runs out.
     pub fn record_sent(&mut self, peers: usize, now: time::Time) -> bool {
         self.pending = false;
         self.sent_at = now;
@@ -84,8 +84,8 @@
         self.budget_full_at.since(now) + wanted <= self.send_time(self.settings.burst_bytes)
     }
 
-    /// Time at which loads that did not change are reported again, or `None` if a report is
-    /// already due, the last one is recent, or the budget is used.
+    /// Schedules a report of unchanged loads to `peers` hosts and returns its time, or `None` if a
+    /// report is already scheduled, the last one is recent, or half of the burst budget is used.
     pub fn schedule_refresh(&mut self, peers: usize, now: time::Time) -> Option<time::Time> {
         let recent = now.since(self.sent_at) < REFRESH_INTERVAL;
         if recent || self.budget_full_at.since(now) > self.send_time(self.settings.burst_bytes) / 2
@@ -95,7 +95,7 @@
         self.schedule(peers, now)
     }
 
-    /// Time in which the budget allows a number of bytes.
+    /// Time in which the budget refills by a number of bytes.
     fn send_time(&self, bytes: u64) -> Duration {
         Duration::from_micros(bytes.saturating_mul(1_000_000) / self.settings.bytes_per_s.max(1))
     }
--- a/crates/core/src/routing/report.rs
+++ b/crates/core/src/routing/report.rs
@@ -1,11 +1,11 @@
-//! Loads that the hosts of a failure domain tell each other.
+//! Load reports between the hosts of a failure domain.
 
 use smallvec::SmallVec;
 
 use crate::entity;
 
-/// Most endpoints of one kind in a report. A report leaves out what does not fit, and the next
-/// one may carry it.
+/// Maximum endpoints in each list of a report. Further endpoints are left out and may be in the
+/// next report.
 pub const MAX_ENTRIES: usize = 64;
 
 /// Load of an endpoint.
@@ -13,22 +13,22 @@
 pub struct Load {
     /// The endpoint.
     pub endpoint: entity::EndpointId,
-    /// Its load, in the unit of its pool.
+    /// Its load, in the unit of the endpoint's class.
     pub load: u64,
 }
 
-/// Loads that one host knows exactly, and what it asks of the receiver.
+/// Loads of one host's endpoints, and its part in handovers with the receiver.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Report {
     /// Host that sends it.
     pub from: entity::HostId,
-    /// Whether the host reports every further change at once.
+    /// Whether the host sends a report immediately on every change from now on.
     pub pushes_changes: bool,
     /// Loads of the endpoints that the host owns.
     pub loads: SmallVec<[Load; 4]>,
-    /// Endpoints that the host takes over. The answer tells what the receiver left there.
+    /// Endpoints that the host takes over. The answer has the receiver's residual load at them.
     pub claims: SmallVec<[entity::EndpointId; 4]>,
-    /// What the host has in flight at endpoints that the receiver claims and that it does not
-    /// own: it admits nothing more to them.
+    /// Residual load of the host at endpoints that the receiver claims and that the host does not
+    /// own. The host admits no more work to them.
     pub residual: SmallVec<[Load; 4]>,
 }
--- a/crates/core/src/routing/work.rs
+++ b/crates/core/src/routing/work.rs
@@ -1,18 +1,19 @@
-//! Estimated work of a request, the unit of an engine's load.
+//! Estimated work of a request, in the unit of an endpoint's load.
 //!
-//! A batch engine reads several prompt tokens in the time in which it generates one, so a prompt
-//! token counts as a fraction of a generated token. What the endpoint holds of the prompt is not
-//! subtracted: it is not known where the request is first admitted, and memory is taken anyway.
+//! A batching engine prefills several prompt tokens in the time in which it generates one, so a
+//! prompt token counts as a fraction of a generated token. The prefix that an endpoint has cached
+//! is not subtracted: the host that first admits the request does not know it, and the prefix
+//! takes memory in any case.
 
 use crate::units;
 
-/// Prompt tokens that cost an engine as much time as one generated token.
+/// Prompt tokens that take an engine as long as one generated token.
 pub const PROMPT_TOKENS_PER_GENERATED: u64 = 8;
 
 /// Work of a call to a plain service.
 pub const SERVICE_CALL: u64 = 1;
 
-/// Work of a request to an engine, in generated tokens; at least one.
+/// Returns the work of a request to an engine, in generated tokens; at least one.
 #[must_use]
 pub fn of_tokens(prompt: units::Tokens, answer: units::Tokens) -> u64 {
     (prompt.0 / PROMPT_TOKENS_PER_GENERATED)
