--- a/crates/core/src/routing/candidates.rs
+++ b/crates/core/src/routing/candidates.rs
@@ -1,15 +1,14 @@
-//! Endpoints of a chat in order of preference, computed without a table of chats.
+//! Candidate endpoints of a chat in order of preference, computed without a table of chats.
 //!
-//! The endpoint with the highest weighted score among all live endpoints of the region decides
-//! the chat's home domain. This gives each domain a share of the chats in proportion to its
-//! capacity, as a separate choice of the domain would, but an endpoint that joins or leaves moves
-//! only the chats that it wins or won. Inside the home domain the candidates follow in the order
-//! of their scores.
+//! The domain of the endpoint with the highest weighted score, among all live endpoints of the
+//! region, is the home domain of the chat. Each domain thus gets a share of the chats in proportion
+//! to its capacity, as with a separate hash over domains, but an endpoint that joins or leaves
+//! moves only the chats that are assigned to it. Within the home domain, candidates are ordered by
+//! score.
 //!
-//! The home domain is decided by the host list alone. An endpoint that the health checks have
-//! taken out is skipped, and its chats go to the next endpoint of the same domain, where its
-//! prefixes are cheapest to import. A domain without a usable host cannot be reached, and is left
-//! out.
+//! With [`Spread::Region`], the health of endpoints does not change the home domain: an ejected
+//! endpoint is skipped, and its chats go to the next endpoint of the same domain, where importing
+//! its prefixes is cheapest. A domain without a usable host cannot be reached and is left out.
 
 use std::collections::BTreeMap;
 
@@ -19,10 +18,11 @@
 use crate::routing::rendezvous;
 use crate::{entity, map, request, topology};
 
-/// Most candidates of a request.
+/// Maximum candidates of a request.
 pub const MAX_CANDIDATES: usize = 8;
 
-/// Most candidates in the home domain. The rest are for when the whole domain refuses.
+/// Maximum candidates in the home domain. At least one place remains for another domain, in case
+/// the whole home domain refuses.
 pub const MAX_HOME_CANDIDATES: usize = 7;
 
 /// Candidates of a request, best first.
@@ -32,27 +32,27 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Spread {
-    /// Anywhere in the region, so that a chat has one home wherever its caller enters.
+    /// Anywhere in the region, so that a chat has the same home on every entry host.
     #[default]
     Region,
     /// In the domain of the entry host, if it has a usable endpoint.
     Local,
 }
 
-/// An entry host and what is known of it.
+/// A host and whether it can be reached.
 #[derive(Clone, Debug)]
 struct HostEntry {
     host: topology::Host,
     usable: bool,
 }
 
-/// An endpoint and what is known of it.
+/// An endpoint with its health, departure and owner.
 #[derive(Clone, Debug)]
 struct EndpointEntry {
     endpoint: topology::Endpoint,
     usable: bool,
     leaving: bool,
-    /// Owner among the usable hosts of the domain. Invariant: kept by `assign_owners`.
+    /// Owner among the usable hosts of the domain, maintained by `assign_owners`.
     owner: Option<entity::HostId>,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Hosts and endpoints of the fleet, with what membership and health know of them.
+/// Hosts and endpoints of the host list, with their state by membership and health checks.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     version: u64,
@@ -78,7 +78,7 @@
 type Scored = (f64, entity::EndpointId);
 
 impl Directory {
-    /// Makes the directory of a host list in which every entry is usable.
+    /// Makes the directory of a host list. All entries are usable at first.
     #[must_use]
     pub fn new(list: &topology::HostList, spread: Spread) -> Self {
         let mut directory = Self {
@@ -89,8 +89,8 @@
         directory
     }
 
-    /// Takes over a newer host list and keeps what is known of the entries that stay. Returns
-    /// whether the list was newer.
+    /// Replaces the host list if `list` is newer, and keeps the state of entries that are in both.
+    /// Returns whether it was newer.
     pub fn update(&mut self, list: &topology::HostList) -> bool {
         if list.version <= self.version {
             return false;
@@ -140,7 +140,7 @@
             .for_each(|pool| pool.sort_unstable());
     }
 
-    /// Sets whether a host can be reached. A host that the directory does not hold is ignored.
+    /// Sets whether a host can be reached. Unknown hosts are ignored.
     pub fn set_host_usable(&mut self, host: entity::HostId, usable: bool) {
         let Some(entry) = self.hosts.get_mut(host) else {
             return;
@@ -151,22 +151,21 @@
         }
     }
 
-    /// Sets whether an endpoint passes its health checks. An endpoint that the directory does not
-    /// hold is ignored.
+    /// Sets whether an endpoint passes its health checks. Unknown endpoints are ignored.
     pub fn set_endpoint_usable(&mut self, endpoint: entity::EndpointId, usable: bool) {
         if let Some(entry) = self.endpoints.get_mut(endpoint) {
             entry.usable = usable;
         }
     }
 
-    /// Sets whether an endpoint is known to be leaving before the host list shows it.
+    /// Sets whether an endpoint is leaving, which may be known before the host list shows it.
     pub fn set_endpoint_leaving(&mut self, endpoint: entity::EndpointId, leaving: bool) {
         if let Some(entry) = self.endpoints.get_mut(endpoint) {
             entry.leaving = leaving;
         }
     }
 
-    /// Version of the host list that the directory was made from.
+    /// Version of the current host list.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
@@ -208,8 +207,8 @@
             .is_some_and(EndpointEntry::is_live)
     }
 
-    /// Whether new work may go to an endpoint: it is live, passes its health checks, and its
-    /// domain has a usable host.
+    /// Whether new requests may be sent to an endpoint: it is live, passes its health checks, and
+    /// its domain has a usable host.
     #[must_use]
     pub fn takes_new_work(&self, endpoint: entity::EndpointId) -> bool {
         self.endpoints
@@ -224,8 +223,8 @@
         self.endpoints.get(endpoint)?.owner
     }
 
-    /// Endpoints of a domain that serve the target and may get new work, in the order of their
-    /// ids. The mean load is taken over them.
+    /// Endpoints of a domain that serve the target and take new requests, in the order of their
+    /// ids. The load bound is relative to their mean load.
     pub fn pool(
         &self,
         target: &request::Target,
@@ -240,7 +239,7 @@
     /// Fills `out` with the candidates of a chat, best first.
     ///
     /// `key` is the chat's key, or a random number for a request without a chat. `local` is the
-    /// domain of the entry host. The last place is for the best endpoint outside the home domain.
+    /// domain of the entry host. Candidates of other domains follow those of the home domain.
     pub fn candidates(
         &self,
         key: u64,
@@ -265,7 +264,7 @@
         out.extend(near.iter().chain(&far).map(|(_, id)| *id));
     }
 
-    /// Scores of the live endpoints of the region that serve the target and can be reached.
+    /// Scores of the live, reachable endpoints of the region that serve the target.
     fn scored(
         &self,
         key: u64,
@@ -330,7 +329,7 @@
     }
 }
 
-/// Keeps the `count` best of a list, best first.
+/// Truncates a list to its `count` highest scores, highest first.
 fn keep_best(scored: &mut SmallVec<[Scored; 32]>, count: usize) {
     let best_first = |a: &Scored, b: &Scored| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1));
     if scored.len() > count {
@@ -340,10 +339,10 @@
     scored.sort_unstable_by(best_first);
 }
 
-/// Keeps the keys of endpoints apart from those of chats.
+/// Separates the keys of endpoints from those of chats.
 const OWNER_KEY: u64 = 0x6f77_6e65_7200_0000;
 
-/// Targets that an endpoint serves.
+/// Targets that an endpoint serves: its models, or its service.
 fn targets(serves: &topology::Serves) -> Vec<request::Target> {
     match serves {
         topology::Serves::Engine { models } => {
--- a/crates/core/src/routing/handover.rs
+++ b/crates/core/src/routing/handover.rs
@@ -1,11 +1,11 @@
-//! Endpoints that a host takes over, and what the other hosts of its domain say of them.
+//! Handover of the ownership of endpoints within a failure domain.
 //!
-//! A host that becomes the owner of an endpoint asks every other host of the domain. A host that
-//! does not own the endpoint answers with the load that it still has in flight there, and from
-//! then on sends nothing more to it. When all have answered, the new owner may admit. A host that
-//! cannot answer is covered by the grace period of the [bound](crate::routing::bound). A host that
-//! believes that it owns the endpoint gives no answer on it, and its load reports keep the grace
-//! period from ending.
+//! A host that becomes the owner of an endpoint claims it from every other host of the domain. A
+//! host that does not own the endpoint answers with its residual load, the load that it still has
+//! in flight there, and sends no further requests to the endpoint. When all hosts have answered,
+//! the new owner may admit. For a host that cannot answer, the new owner waits for the grace period
+//! of the [bound](crate::routing::bound). A host that considers itself the owner does not answer
+//! the claim, and its load reports extend the grace period.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,39 +14,39 @@
 
 use crate::{entity, time};
 
-/// Time between two queries to the same host.
+/// Interval between queries to the same host.
 const QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Endpoints that one host is asked about.
+/// A host, and the endpoints that are claimed from it.
 pub type Query = (entity::HostId, SmallVec<[entity::EndpointId; 4]>);
 
-/// An endpoint that was taken over.
+/// Claim of an endpoint that this host takes over.
 #[derive(Clone, Debug)]
 struct Claim {
     /// Hosts that have not answered.
     unanswered: BTreeSet<entity::HostId>,
-    /// Load that other hosts left in flight, above zero.
+    /// Residual load of other hosts, without those that have none.
     residual: BTreeMap<entity::HostId, u64>,
 }
 
 impl Claim {
-    /// Hosts that have to be asked again.
+    /// Hosts to query: those without an answer, and those whose residual load may have fallen.
     fn hosts_to_query(&self) -> impl Iterator<Item = entity::HostId> {
         self.unanswered.iter().chain(self.residual.keys()).copied()
     }
 }
 
-/// Endpoints that a host takes over.
+/// Open claims of the endpoints that a host takes over.
 #[derive(Clone, Debug, Default)]
 pub struct Handovers {
-    /// Claims that are not settled. Invariant: each has a silent host or load that was left.
+    /// Claims by endpoint. Invariant: each has an unanswered query or residual load.
     claims: BTreeMap<entity::EndpointId, Claim>,
     queried_at: Option<time::Time>,
 }
 
 impl Handovers {
-    /// Notes that the host takes an endpoint over while `peers` are the other hosts of the
-    /// domain. Returns whether there is nobody to ask.
+    /// Claims an endpoint from `peers`, the other hosts of the domain. Returns whether there are
+    /// none, so that the handover is complete.
     pub fn claim<I>(&mut self, endpoint: entity::EndpointId, peers: I) -> bool
     where
         I: IntoIterator<Item = entity::HostId>,
@@ -67,13 +67,13 @@
         false
     }
 
-    /// Forgets an endpoint that the host no longer owns.
+    /// Drops the claim of an endpoint that the host no longer owns.
     pub fn cancel(&mut self, endpoint: entity::EndpointId) {
         self.claims.remove(&endpoint);
     }
 
-    /// Takes in that a host does not own an endpoint and has `load` in flight there. Returns the
-    /// load of all other hosts once all have answered.
+    /// Records the answer of a host that does not own an endpoint and has a residual load of `load`
+    /// there. Returns the residual load of all other hosts once all have answered.
     pub fn record_answer(
         &mut self,
         from: entity::HostId,
@@ -89,9 +89,9 @@
         self.settle(endpoint)
     }
 
-    /// Takes in that a host has gone: what it had in flight ended with its connections. It still
-    /// counts as unanswered, because it may only seem to be gone. Returns the endpoints whose load of
-    /// other hosts changed.
+    /// Removes the residual load of a host that is down, since its requests ended with its
+    /// connections. A missing answer of the host stays missing, because the failure detection may
+    /// be wrong. Returns the settled endpoints whose residual load changed, with that load.
     pub fn host_down(&mut self, host: entity::HostId) -> SmallVec<[(entity::EndpointId, u64); 4]> {
         let with_load: SmallVec<[entity::EndpointId; 4]> = self
             .claims
@@ -108,7 +108,7 @@
             .collect()
     }
 
-    /// Questions that are due now, by host.
+    /// Returns the queries that are due now, by host.
     pub fn due_queries(&mut self, now: time::Time) -> SmallVec<[Query; 4]> {
         let recent = self
             .queried_at
@@ -126,7 +126,8 @@
         queries.into_iter().collect()
     }
 
-    /// Load that was left, once no host is unanswered. Forgets a claim without any.
+    /// Returns the residual load of a claim once all hosts have answered. Removes the claim if that
+    /// load is zero.
     fn settle(&mut self, endpoint: entity::EndpointId) -> Option<u64> {
         let claim = self.claims.get(&endpoint)?;
         if !claim.unanswered.is_empty() {
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -1,8 +1,9 @@
-//! State of one host for the endpoints of one target in its failure domain.
+//! Routing state of one host for the endpoints of one target in its failure domain.
 //!
-//! A request first reaches the owner of the chat's first candidate. That owner knows where the
-//! chat's prefix is, so it [decides](TargetRouter::decide) the way of the request. The owner of the
-//! endpoint on that way [admits](TargetRouter::admit) the request or refuses it before anything is sent.
+//! A request first goes to the owner of the chat's first candidate. That owner knows the location
+//! of the chat's prefix, so it [decides](TargetRouter::decide) which endpoint serves the request.
+//! The owner of that endpoint [admits](TargetRouter::admit) the request, or refuses it before
+//! anything is sent to the endpoint.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,15 +17,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Bound of the load.
+    /// Load bound.
     pub bound: bound::Settings,
     /// Views of the prefix caches.
     pub cache: cache::Settings,
-    /// Choice between the holder of a prefix and the others.
+    /// Decision between the holder of a prefix and other endpoints.
     pub spill: spill::Settings,
 }
 
-/// What the choice needs to know of a request.
+/// The properties of a request that the decision depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouteRequest<'a> {
     /// Chat of the request, if it has one.
@@ -35,13 +36,13 @@
     pub cost: u64,
     /// Candidates, best first.
     pub candidates: &'a [entity::EndpointId],
-    /// Endpoints that have refused the request.
+    /// Endpoints that have already refused the request.
     pub refused: &'a [entity::EndpointId],
     /// Whether the request may wait for the holder of its prefix.
     pub may_wait: bool,
 }
 
-/// State of one host for the endpoints of one target in its domain.
+/// Routing state of one host for the endpoints of one target in its domain.
 #[derive(Clone, Debug)]
 pub struct TargetRouter {
     settings: Settings,
@@ -53,7 +54,7 @@
 }
 
 impl TargetRouter {
-    /// Makes the state of a host that owns nothing yet.
+    /// Makes the state of a host that owns no endpoints.
     #[must_use]
     pub fn new(settings: Settings, now: time::Time) -> Self {
         Self {
@@ -71,13 +72,13 @@
         &self.pool
     }
 
-    /// Loads of the pool, to take in views and reports.
+    /// Loads of the pool, to update with views and reports.
     pub fn pool_mut(&mut self) -> &mut bound::pool::Pool {
         &mut self.pool
     }
 
-    /// Takes an endpoint over whose last own load report is `report`. The caller asks the
-    /// endpoint for a listing of its cache.
+    /// Takes ownership of an endpoint that last reported a load of `report`. The caller fetches a
+    /// snapshot of the endpoint's cache.
     pub fn take_over(&mut self, endpoint: entity::EndpointId, report: u64, now: time::Time) {
         self.pool.take_over(endpoint, report, now);
         let settings = self.settings.cache;
@@ -85,13 +86,13 @@
             .get_or_insert_with(endpoint, || cache::View::new(settings));
     }
 
-    /// Gives an endpoint up and returns the load that this host leaves in flight.
+    /// Gives up ownership of an endpoint and returns the residual load of this host there.
     pub fn give_up(&mut self, endpoint: entity::EndpointId, now: time::Time) -> u64 {
         self.caches.remove(endpoint);
         self.pool.give_up(endpoint, now)
     }
 
-    /// Removes an endpoint that left the host list or is leaving.
+    /// Removes an endpoint that is leaving or no longer in the host list.
     pub fn leave(&mut self, endpoint: entity::EndpointId) {
         self.caches.remove(endpoint);
         self.pool.leave(endpoint);
@@ -103,7 +104,7 @@
         self.caches.get(endpoint)
     }
 
-    /// Folds a cache event of an owned endpoint in.
+    /// Applies a cache event of an owned endpoint.
     pub fn apply_cache_event(
         &mut self,
         endpoint: entity::EndpointId,
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Takes in a listing of an owned endpoint's cache that shows every event before `next`.
+    /// Loads a snapshot of an owned endpoint's cache that includes every event before `next`.
     pub fn load_cache_snapshot<I>(&mut self, endpoint: entity::EndpointId, next: u64, entries: I)
     where
         I: IntoIterator<Item = (request::ChatKey, units::Tokens)>,
@@ -125,18 +126,18 @@
         }
     }
 
-    /// Takes in where a chat went whose first candidate this host owns.
+    /// Records the location of a chat whose first candidate this host owns.
     pub fn record_location(&mut self, location: chat_locations::ChatLocation) {
         self.chat_locations.record(location);
     }
 
-    /// Forgets that a chat is elsewhere than at its first candidate.
+    /// Removes the location of a chat that is back at its first candidate, or no longer cached.
     pub fn remove_location(&mut self, chat: request::ChatKey) {
         self.chat_locations.remove(chat);
     }
 
-    /// Chooses the way of a request, or `None` if every candidate is at its bound and no wait is
-    /// worth it.
+    /// Decides where a request is sent, or `None` if no candidate admits it and it should not wait
+    /// for one.
     pub fn decide(
         &mut self,
         request: &RouteRequest<'_>,
@@ -234,11 +235,11 @@
     }
 
     /// Admits a request to an owned endpoint and counts its cost until [`TargetRouter::complete`].
-    /// `tokens` is the length of the chat after the request.
+    /// `tokens` is the length of the chat including the request and its answer.
     ///
     /// # Errors
     ///
-    /// Returns why the endpoint gets no more work; nothing was changed.
+    /// Returns why the endpoint is not sent the request. The state is unchanged.
     pub fn admit(
         &mut self,
         endpoint: entity::EndpointId,
@@ -254,16 +255,16 @@
         Ok(())
     }
 
-    /// Notes that an admitted request of this cost has ended.
+    /// Records that an admitted request of this cost has ended.
     pub fn complete(&mut self, endpoint: entity::EndpointId, cost: u64, now: time::Time) {
         self.pool.complete(endpoint, cost, now);
     }
 
-    /// Notices for chats that an owned endpoint holds and whose first candidate is now another
-    /// endpoint, by the owner that has to know.
+    /// Locations of the chats that an owned endpoint holds and whose first candidate is now another
+    /// endpoint, by the owner of that first candidate, which has to be notified.
     ///
-    /// Called after the candidates changed: an endpoint joined, left or is leaving. At most
-    /// `bound` locations, those of the lowest chat keys.
+    /// Called after the candidates changed because an endpoint joined, left or is leaving. Returns
+    /// at most `bound` locations, those of the lowest chat keys.
     #[must_use]
     pub fn moved_chats<F>(
         &self,
--- a/crates/core/src/routing/spill.rs
+++ b/crates/core/src/routing/spill.rs
@@ -1,19 +1,20 @@
-//! Choice between the endpoint that holds a chat's prefix and the others.
+//! Decision between the endpoint that holds a chat's prefix and other endpoints.
 //!
-//! There are three decisions when the holder is at its bound: wait for it, spill to another endpoint
-//! and read the prefix again, or spill and import the KV cache from the holder. Each decision has a
-//! cost in seconds, and the cheapest is taken:
+//! When the holder is at its load bound, a request can wait for it, spill to another endpoint that
+//! prefills the prompt again, or spill to one that imports the KV cache from the holder. Each
+//! option has a cost in seconds, and the cheapest is taken. The cost is the sum of:
 //!
 //! - the expected wait;
-//! - the time to read the part of the prompt that is neither held nor imported;
-//! - the time of the import, and for a link between domains its price, as time. Imports between
-//!   domains also have a budget of bytes;
-//! - the memory that the prefix takes at an endpoint that does not hold it yet;
-//! - the load of the endpoint over the mean, weighted by [`Settings::reuse`].
+//! - the prefill time of the part of the prompt that is neither held nor imported;
+//! - the time of the import. Between domains it is multiplied by a price factor, and the bytes of
+//!   imports have a budget;
+//! - the memory that the prefix takes at an endpoint that does not hold it yet, as prefill time;
+//! - the load of the endpoint relative to the mean, weighted by [`Settings::reuse`];
+//! - the distance to another domain, and the rank among the candidates.
 //!
-//! [`Settings::reuse`] is the one setting that moves between cache reuse and even load. At 1 only
-//! time counts, and the holder is taken up to its bound. At 0 an endpoint with less load is taken
-//! as soon as the difference in load outweighs the time, and imports keep the reuse up.
+//! [`Settings::reuse`] sets the balance between cache reuse and even load. At 1, load counts least
+//! and the holder is used up to its bound. At 0, an endpoint with less load is used as soon as the
+//! difference in load outweighs the time, and imports preserve the reuse.
 
 use std::time::Duration;
 
@@ -21,30 +22,30 @@
 
 use crate::{entity, time, units};
 
-/// Most endpoints that one choice weighs.
+/// Maximum endpoints that one decision compares.
 pub const MAX_OPTIONS: usize = 8;
 
-/// Settings of the choice.
+/// Settings of the spill decision.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
     /// Weight of cache reuse against even load, from 0 to 1.
     pub reuse: f64,
-    /// Longest wait for the holder of a prefix.
+    /// Maximum wait for the holder of a prefix.
     pub max_wait: Duration,
-    /// Prompt tokens that an engine reads a second.
+    /// Prompt tokens that an engine prefills per second.
     pub read_tokens_per_s: u64,
-    /// Size of the KV cache of one token.
+    /// Size of the KV cache of one token, in bytes.
     pub kv_bytes_per_token: u64,
-    /// Bytes a second of an import inside a domain.
+    /// Bandwidth of an import within a domain, in bytes per second.
     pub domain_bytes_per_s: u64,
-    /// Bytes a second of an import between domains.
+    /// Bandwidth of an import between domains, in bytes per second.
     pub cross_bytes_per_s: u64,
     /// Factor on the time of an import between domains, for the price of the link.
     pub cross_price: u32,
-    /// Bytes a second that imports between domains may use, averaged over [`BUDGET_WINDOW`].
+    /// Bytes per second that imports between domains may use, averaged over [`BUDGET_WINDOW`].
     pub cross_budget_bytes_per_s: u64,
-    /// Shortest prefix that is worth an import.
+    /// Minimum tokens of an import.
     pub min_import: units::Tokens,
 }
 
@@ -67,40 +68,41 @@
 /// Time over which the budget of imports between domains is averaged.
 pub const BUDGET_WINDOW: Duration = Duration::from_secs(10);
 
-/// An endpoint that a request may go to.
+/// An endpoint that a request may be sent to, or that its prefix may be imported from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointOption {
     /// The endpoint.
     pub endpoint: entity::EndpointId,
-    /// Prefix of the chat that the endpoint probably holds.
+    /// Length of the chat's prefix that the endpoint probably holds.
     pub held: units::Tokens,
-    /// Load of the endpoint, or `None` if not known, as outside the domain.
+    /// Load of the endpoint, or `None` if unknown, as for endpoints outside the domain.
     pub load: Option<u64>,
     /// Mean load of the pool.
     pub mean: f64,
     /// Whether the endpoint is in another failure domain.
     pub remote: bool,
-    /// Expected time until the bound admits the request, zero if it does now, or `None` if not
-    /// known.
+    /// Expected time until the load bound admits the request, zero if it does now, or `None` if the
+    /// endpoint cannot be used or the time is unknown.
     pub wait: Option<Duration>,
 }
 
-/// How a request goes to an endpoint.
+/// Where and when a request is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// At once; a prefix that the endpoint does not hold is read again.
+    /// Send immediately. The endpoint prefills what it does not hold.
     Send {
         /// The endpoint.
         endpoint: entity::EndpointId,
     },
-    /// When the endpoint has room, and elsewhere if it has none after `at_most`.
+    /// Wait until the endpoint admits the request, and send it elsewhere if that takes longer than
+    /// `at_most`.
     Wait {
         /// The endpoint.
         endpoint: entity::EndpointId,
-        /// Longest wait.
+        /// Maximum wait.
         at_most: Duration,
     },
-    /// At once, after the endpoint has imported the prefix from its holder.
+    /// Send immediately. The endpoint first imports the prefix from its holder.
     Import {
         /// The endpoint.
         endpoint: entity::EndpointId,
@@ -122,12 +124,12 @@
     }
 }
 
-/// Weighs the decisions of a request.
+/// Makes spill decisions and keeps the budget of imports between domains.
 #[derive(Clone, Debug)]
 pub struct Chooser {
     settings: Settings,
-    /// Bytes that imports between domains may use now. Invariant: at most one [`BUDGET_WINDOW`] of
-    /// the budget.
+    /// Bytes that imports between domains may use now. Invariant: at most the budget of one
+    /// [`BUDGET_WINDOW`].
     cross_budget_left: f64,
     refilled_at: time::Time,
 }
@@ -147,8 +149,10 @@
         }
     }
 
-    /// Takes the cheapest decision of a request with a prompt of `prompt` tokens and a work of `cost`,
-    /// or `None` if no endpoint admits it and none is worth the wait.
+    /// Returns the cheapest decision for a request with a prompt of `prompt` tokens and an
+    /// estimated work of `cost`, and charges an import to the budget. Returns `None` if no endpoint
+    /// admits the request now and no endpoint that holds a part of its prefix is expected to within
+    /// [`Settings::max_wait`].
     ///
     /// `options` are the candidates, best first, and any other endpoint that holds the prefix.
     pub fn choose(
@@ -222,7 +226,7 @@
         Some((base + seconds + rest, decision))
     }
 
-    /// Time of an import, or `None` if it exceeds the budget between domains.
+    /// Cost of an import in seconds, or `None` if it exceeds the budget between domains.
     fn link_seconds(&self, bytes: units::ByteSize, same_domain: bool) -> Option<f64> {
         let bytes = bytes.0 as f64;
         if same_domain {
@@ -232,7 +236,7 @@
         (bytes <= self.cross_budget_left).then(|| seconds * f64::from(self.settings.cross_price))
     }
 
-    /// Cost of the endpoint's load after the admission, and of its distance.
+    /// Cost of the endpoint's load after the admission and of its distance, in seconds.
     fn endpoint_cost(&self, option: &EndpointOption, cost: u64, new_chat: bool) -> f64 {
         let distance = if option.remote { REMOTE_COST_S } else { 0.0 };
         let after = option.load.map_or(option.mean, |load| load as f64) + cost as f64;
@@ -240,8 +244,8 @@
         distance + self.load_cost(new_chat) * over_mean
     }
 
-    /// Cost of a load equal to the mean, in seconds. For a new chat there is no reuse to weigh
-    /// against it.
+    /// Cost of a load equal to the mean, in seconds. It has a minimum for a new chat, which has no
+    /// reuse to lose.
     fn load_cost(&self, new_chat: bool) -> f64 {
         let even = (1.0 - self.settings.reuse).clamp(0.0, 1.0);
         let cost = LEAST_LOAD_COST_S + MOST_LOAD_COST_S * even.powi(3);
@@ -279,28 +283,29 @@
     }
 }
 
-/// Cost of a load equal to the mean when [`Settings::reuse`] is 1, in seconds.
+/// Cost of a load equal to the mean if [`Settings::reuse`] is 1, in seconds.
 const LEAST_LOAD_COST_S: f64 = 0.2;
 
-/// Cost of a load equal to the mean that [`Settings::reuse`] adds at 0, in seconds. It falls with
-/// the cube of the setting, because the reuse falls little at first.
+/// Additional cost of a load equal to the mean if [`Settings::reuse`] is 0, in seconds. It scales
+/// with the cube of `1 - reuse`, because cache reuse falls little at first.
 const MOST_LOAD_COST_S: f64 = 20.0;
 
-/// Least cost of a load equal to the mean for a chat that is held nowhere, in seconds.
+/// Minimum cost of a load equal to the mean for a chat without a cached prefix, in seconds.
 const NEW_CHAT_LOAD_COST_S: f64 = 2.0;
 
 /// Cost of an endpoint in another failure domain, in seconds.
 const REMOTE_COST_S: f64 = 0.25;
 
-/// Cost of prefix memory taken at one more endpoint, as a share of the time to read it. It evicts
-/// prefixes of other chats, some of which will be read again.
+/// Cost of the memory of a prefix at one more endpoint, as a multiple of its prefill time. The
+/// prefix evicts those of other chats, some of which will be prefilled again.
 const MEMORY_WEIGHT: f64 = 1.0;
 
-/// Cost of one place down the order of candidates, in seconds. Keeps a chat on the same endpoints
-/// when nothing else tells them apart.
+/// Cost per rank in the order of candidates, in seconds. Keeps a chat on the same endpoints when
+/// the other costs are equal.
 const RANK_COST_S: f64 = 0.002;
 
-/// Cost of a second of waiting, in seconds. A wait also holds up the queue behind it.
+/// Cost of a second of waiting, in seconds. Above 1 because a wait also delays the requests queued
+/// behind it.
 const WAIT_WEIGHT: f64 = 1.5;
 
 fn full_budget(settings: &Settings) -> f64 {
--- a/crates/core/tests/candidates.rs
+++ b/crates/core/tests/candidates.rs
@@ -1,4 +1,4 @@
-//! Order of candidates and ownership of endpoints.
+//! Order of the candidates of a chat, and ownership of endpoints.
 
 use std::net;
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Three domains of one region, with hosts and endpoints dealt out in turn.
+/// Three domains of one region, with hosts and endpoints assigned round-robin.
 fn list(hosts: usize, endpoints: usize) -> topology::HostList {
     let domain = |d| topology::Domain {
         id: entity::DomainId::from_index(d),
@@ -58,10 +58,10 @@
 #[test]
 fn a_removed_endpoint_moves_only_its_own_chats() {
     let full = list(8, 20);
-    let mut less = full.clone();
-    less.endpoints.remove(4);
+    let mut reduced = full.clone();
+    reduced.endpoints.remove(4);
     let before = candidates::Directory::new(&full, candidates::Spread::Region);
-    let after = candidates::Directory::new(&less, candidates::Spread::Region);
+    let after = candidates::Directory::new(&reduced, candidates::Spread::Region);
     for chat in 0..CHATS {
         let first = candidates(&before, chat)[0];
         if first != entity::EndpointId::from_index(4) {
@@ -75,36 +75,38 @@
     let mut list = list(8, 20);
     list.endpoints[0].slots = 16;
     let directory = candidates::Directory::new(&list, candidates::Spread::Region);
-    let mut wins = [0_u32; 20];
+    let mut assigned = [0_u32; 20];
     for chat in 0..CHATS {
-        wins[candidates(&directory, chat)[0].index()] += 1;
+        assigned[candidates(&directory, chat)[0].index()] += 1;
     }
     let share = |n: u32| f64::from(n) / CHATS as f64 * 21.0;
-    assert!((1.8..2.2).contains(&share(wins[0])), "{wins:?}");
+    assert!((1.8..2.2).contains(&share(assigned[0])), "{assigned:?}");
     assert!(
-        wins[1..].iter().all(|n| (0.85..1.15).contains(&share(*n))),
-        "{wins:?}"
+        assigned[1..]
+            .iter()
+            .all(|n| (0.85..1.15).contains(&share(*n))),
+        "{assigned:?}"
     );
 }
 
 #[test]
-fn an_unhealthy_endpoint_hands_its_chats_to_its_own_domain() {
+fn chats_of_an_unhealthy_endpoint_stay_in_its_domain() {
     let mut directory = candidates::Directory::new(&list(8, 20), candidates::Spread::Region);
-    let sick = entity::EndpointId::from_index(4);
+    let unhealthy = entity::EndpointId::from_index(4);
     let chats: Vec<u64> = (0..CHATS)
-        .filter(|c| candidates(&directory, *c)[0] == sick)
+        .filter(|c| candidates(&directory, *c)[0] == unhealthy)
         .collect();
-    directory.set_endpoint_usable(sick, false);
+    directory.set_endpoint_usable(unhealthy, false);
     assert!(!chats.is_empty());
     for chat in chats {
         let order = candidates(&directory, chat);
-        assert!(!order.contains(&sick));
+        assert!(!order.contains(&unhealthy));
         assert_eq!(order[0].index() % 3, 1);
     }
 }
 
 #[test]
-fn leaving_endpoints_and_other_targets_are_no_candidates() {
+fn leaving_endpoints_and_other_targets_are_not_candidates() {
     let mut list = list(8, 20);
     list.endpoints[2].presence = topology::Presence::Leaving;
     list.endpoints[3].serves = topology::Serves::Service {
@@ -122,8 +124,8 @@
 #[test]
 fn a_domain_without_hosts_is_left_out_until_one_returns() {
     let mut directory = candidates::Directory::new(&list(8, 20), candidates::Spread::Region);
-    let gone = [0, 3, 6].map(entity::HostId::from_index);
-    gone.iter()
+    let down = [0, 3, 6].map(entity::HostId::from_index);
+    down.iter()
         .for_each(|host| directory.set_host_usable(*host, false));
     for chat in 0..1_000 {
         assert!(
@@ -132,13 +134,13 @@
                 .all(|id| id.index() % 3 != 0)
         );
     }
-    directory.set_host_usable(gone[1], true);
+    directory.set_host_usable(down[1], true);
     let owner = directory.owner(entity::EndpointId::from_index(0));
-    assert_eq!(owner, Some(gone[1]));
+    assert_eq!(owner, Some(down[1]));
 }
 
 #[test]
-fn local_spread_keeps_to_the_domain_of_the_entry() {
+fn local_spread_prefers_the_domain_of_the_entry_host() {
     let directory = candidates::Directory::new(&list(8, 20), candidates::Spread::Local);
     for chat in 0..1_000 {
         let order = candidates(&directory, chat);
@@ -151,7 +153,7 @@
 }
 
 #[test]
-fn owners_live_in_the_domain_and_few_change_when_one_goes() {
+fn owners_are_in_the_domain_and_only_those_of_a_lost_host_change() {
     let mut directory = candidates::Directory::new(&list(30, 300), candidates::Spread::Region);
     let ids = || (0..300).map(entity::EndpointId::from_index);
     let before: Vec<_> = ids()
@@ -160,25 +162,25 @@
     for (id, owner) in ids().zip(&before) {
         assert_eq!(id.index() % 3, owner.index() % 3);
     }
-    let gone = entity::HostId::from_index(0);
-    directory.set_host_usable(gone, false);
+    let down = entity::HostId::from_index(0);
+    directory.set_host_usable(down, false);
     for (id, former) in ids().zip(before) {
         let owner = directory.owner(id).expect("an owner");
-        assert!(owner != gone && (former == gone || former == owner));
+        assert!(owner != down && (former == down || former == owner));
     }
 }
 
 #[test]
-fn an_older_list_changes_nothing_and_a_newer_one_keeps_what_is_known() {
+fn an_older_list_is_ignored_and_a_newer_one_keeps_the_health_state() {
     let mut directory = candidates::Directory::new(&list(8, 20), candidates::Spread::Region);
-    let sick = entity::EndpointId::from_index(1);
-    directory.set_endpoint_usable(sick, false);
+    let unhealthy = entity::EndpointId::from_index(1);
+    directory.set_endpoint_usable(unhealthy, false);
     assert!(!directory.update(&list(8, 3)));
     let newer = topology::HostList {
         version: 2,
         ..list(8, 21)
     };
     assert!(directory.update(&newer));
-    assert!(!directory.takes_new_work(sick));
+    assert!(!directory.takes_new_work(unhealthy));
     assert!(directory.takes_new_work(entity::EndpointId::from_index(20)));
 }
