--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -180,14 +180,14 @@
         let listed = request.candidates.contains(&endpoint);
         let open = listed && !request.refused.contains(&endpoint);
         let wait = if open {
-            self.wait(endpoint, request, load, mean, now)
+            self.expected_wait(endpoint, request, load, mean, now)
         } else {
             None
         };
         spill::EndpointOption {
             endpoint,
             held: self
-                .held(endpoint, request.chat, location)
+                .held_tokens(endpoint, request.chat, location)
                 .min(request.prompt),
             load,
             mean: mean.as_ratio(),
@@ -196,7 +196,7 @@
         }
     }
 
-    fn wait(
+    fn expected_wait(
         &self,
         endpoint: entity::EndpointId,
         request: &RouteRequest<'_>,
@@ -219,7 +219,7 @@
         self.pool.expected_wait(endpoint, request.cost, mean, now)
     }
 
-    fn held(
+    fn held_tokens(
         &self,
         endpoint: entity::EndpointId,
         chat: Option<request::ChatKey>,
@@ -228,10 +228,10 @@
         let Some(chat) = chat else {
             return units::Tokens::ZERO;
         };
-        let noticed = location.filter(|location| location.endpoint == endpoint);
-        let noticed = noticed.map_or(units::Tokens::ZERO, |location| location.tokens);
+        let recorded = location.filter(|location| location.endpoint == endpoint);
+        let recorded = recorded.map_or(units::Tokens::ZERO, |location| location.tokens);
         let viewed = self.caches.get(endpoint).map(|view| view.tokens(chat));
-        viewed.unwrap_or(noticed)
+        viewed.unwrap_or(recorded)
     }
 
     /// Admits a request to an owned endpoint and counts its cost until [`TargetRouter::complete`].
