--- a/crates/core/src/routing/bound/completions.rs
+++ b/crates/core/src/routing/bound/completions.rs
@@ -1,45 +1,45 @@
-//! Rate at which endpoints complete work, and the margin for completions not yet seen.
+//! Completion rate and request costs of the owned endpoints, and the margin for stale views.
 
 use std::time::Duration;
 
 use crate::time;
 
-/// Time constant of the averages, in seconds.
+/// Time constant of the exponential decay of the completion rate, in seconds.
 const TIME_CONSTANT_S: f64 = 30.0;
 
-/// Deviations of the random walk of a load that the margin covers.
+/// Standard deviations of the random walk of a load that the margin covers.
 const MARGIN_DEVIATIONS: f64 = 4.0;
 
-/// Completions a second that an endpoint is taken to have at least. A host that has served little
-/// knows no better.
+/// Minimum completions per second and endpoint that the margin assumes, because a host that has
+/// served few requests has no reliable rate.
 const MIN_COMPLETIONS_PER_S: f64 = 0.25;
 
-/// Smallest margin, in root mean square costs of a request.
+/// Minimum margin, in root mean square costs of a request.
 const MIN_MARGIN_COSTS: f64 = 2.0;
 
-/// Share of each new cost in the average cost.
+/// Weight of a new cost in the exponentially weighted moving averages of the cost.
 const COST_EWMA_WEIGHT: f64 = 0.02;
 
-/// Averages over the requests of the owned endpoints.
+/// Completion rate and moving averages of the cost of requests at the owned endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct CompletionStats {
-    /// Completions a second over all owned endpoints, decayed to `at`.
+    /// Completions per second over all owned endpoints, decayed to `updated_at`.
     completions_per_s: f64,
     updated_at: time::Time,
-    /// Average cost of a request, or zero before the first.
+    /// Moving average of the cost of a request, or zero before the first.
     mean_cost: f64,
-    /// Average of the squared costs.
+    /// Moving average of the squared cost.
     mean_squared_cost: f64,
 }
 
 impl CompletionStats {
-    /// Counts a completed request.
+    /// Records a completed request.
     pub fn record_completion(&mut self, now: time::Time) {
         self.completions_per_s = self.completions_per_s(now) + 1.0 / TIME_CONSTANT_S;
         self.updated_at = now;
     }
 
-    /// Counts the cost of an admitted request.
+    /// Records the cost of an admitted request.
     pub fn record_admission(&mut self, cost: u64) {
         let cost = cost as f64;
         let gain = if self.mean_cost == 0.0 {
@@ -51,7 +51,7 @@
         self.mean_squared_cost += gain * (cost * cost - self.mean_squared_cost);
     }
 
-    /// Completions a second over all owned endpoints.
+    /// Completions per second over all owned endpoints.
     #[must_use]
     pub fn completions_per_s(&self, now: time::Time) -> f64 {
         let idle = now.since(self.updated_at).as_secs_f64();
@@ -71,7 +71,7 @@
     }
 
     /// Expected time until an endpoint has completed `work`, or `None` before the first
-    /// completion. `owned` endpoints share the rate.
+    /// completion. The completion rate is divided evenly among `owned` endpoints.
     #[must_use]
     pub fn time_to_complete(&self, work: f64, owned: usize, now: time::Time) -> Option<Duration> {
         let work_per_s = self.completions_per_s(now) * self.mean_cost / owned.max(1) as f64;
@@ -82,9 +82,9 @@
 
     /// Work by which the loads in a set of views may have fallen since they were taken.
     ///
-    /// `staleness_s` is the sum of the ages of the views, in seconds. Arrivals and completions are
-    /// taken as balanced over that time, so the loads move as a random walk of as many arrivals
-    /// as completions. Even the freshest views may miss the end of one large request, so
+    /// `staleness_s` is the sum of the staleness of the views, in seconds. Arrivals and completions
+    /// are assumed to balance over that time, so the loads follow a random walk with as many
+    /// arrivals as completions. Even the most recent views may miss the end of a large request, so
     /// the margin is at least [`MIN_MARGIN_COSTS`].
     #[must_use]
     pub fn staleness_margin(&self, staleness_s: f64, owned: usize, now: time::Time) -> f64 {
--- a/crates/core/src/routing/bound/member.rs
+++ b/crates/core/src/routing/bound/member.rs
@@ -1,26 +1,25 @@
-//! Loads of the endpoints of a pool, exact or as others see them, and their mean.
+//! Loads of the endpoints of a pool, exact or viewed, and their mean.
 
 use std::time::Duration;
 
 use crate::time;
 
-/// Age of a view up to which an endpoint counts as the least loaded by it.
+/// Maximum age of the views from which the minimum load of a pool is taken.
 const MIN_LOAD_HORIZON: Duration = Duration::from_secs(1);
 
-/// Age of an endpoint's own load report when it arrives, at most.
+/// Maximum age of an endpoint's own load report on arrival.
 const MAX_REPORT_LAG: Duration = Duration::from_secs(1);
 
 /// Mean load of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mean {
-    /// Load of the endpoints that are known.
+    /// Sum of the known loads.
     pub sum: u64,
-    /// What is left of `sum` after the margin for completions not yet seen.
+    /// `sum` less the margin for completions that are not known yet.
     pub sum_lower_bound: u64,
-    /// Smallest load of the endpoints that are known, or zero if a view is older than
-    /// [`MIN_LOAD_HORIZON`].
+    /// Minimum of the known loads, or zero if a view is older than [`MIN_LOAD_HORIZON`].
     pub min_load: u64,
-    /// Endpoints whose load is known.
+    /// Number of endpoints whose load is known.
     pub members: u64,
     /// Age of the oldest view in the sum.
     pub oldest_view_age: Duration,
@@ -34,25 +33,27 @@
     }
 }
 
-/// Load of an endpoint of this host.
+/// Load of an endpoint that this host owns.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Owned {
-    /// Work that this host admitted and that has not ended.
+    /// Work in flight that this host admitted.
     pub(super) own: u64,
-    /// Work of other owners, as the endpoint reported it; an upper bound while contested.
+    /// Work of other owners by the endpoint's report, an upper bound while contested.
     pub(super) foreign: u64,
-    /// Lower bound of the work of other owners, which counts in the mean.
+    /// Lower bound of the work of other owners, which is used in the mean.
     pub(super) foreign_lower_bound: u64,
-    /// Largest `own` since the last report and between the two before it. A report is at most
-    /// one interval late, so it shows no more of this host's work than these.
+    /// Largest `own` since the last report, and between the two reports before. A report is at most
+    /// one interval old, so it includes no more of this host's work than these.
     pub(super) peaks: [u64; 2],
-    /// Smallest `own` over the same time, which bounds the work of others from above.
+    /// Smallest `own` over the same intervals. A report less this is an upper bound of the work of
+    /// other owners.
     pub(super) troughs: [u64; 2],
-    /// When `foreign` was last set, at the earliest.
+    /// Time of the observation behind `foreign`.
     pub(super) foreign_updated_at: time::Time,
-    /// Until when the work of others is bounded from above, because another host may still admit.
+    /// End of the contested time, in which another host may admit work and `foreign` is an upper
+    /// bound.
     pub(super) contested_until: time::Time,
-    /// When the former owner counts as gone, while it has not handed over.
+    /// End of the grace period of the former owner, or `None` after the handover.
     pub(super) former_owner_expires_at: Option<time::Time>,
 }
 
@@ -61,12 +62,12 @@
         self.own.saturating_add(self.foreign)
     }
 
-    /// Load that the endpoint has at least.
+    /// Lower bound of the endpoint's load.
     pub(super) fn load_lower_bound(&self) -> u64 {
         self.own.saturating_add(self.foreign_lower_bound)
     }
 
-    /// Time for which the end of work of others may not be known.
+    /// Time for which completions of other owners' work may not be known.
     pub(super) fn foreign_staleness(&self, now: time::Time) -> Duration {
         if self.foreign_lower_bound == 0 {
             Duration::ZERO
@@ -75,16 +76,16 @@
         }
     }
 
-    /// Notes a change of `own`.
+    /// Updates the peak and the trough after a change of `own`.
     pub(super) fn update_extremes(&mut self) {
         self.peaks[0] = self.peaks[0].max(self.own);
         self.troughs[0] = self.troughs[0].min(self.own);
     }
 
-    /// Takes in the endpoint's own report.
+    /// Applies a load report of the endpoint.
     ///
-    /// What it shows beyond the largest `own` is surely the work of others. Once there is such
-    /// work, all that it shows beyond the smallest `own` is taken for theirs.
+    /// Load beyond the largest recent `own` must be work of another owner. Its presence makes the
+    /// endpoint contested, and then all load beyond the smallest recent `own` counts as theirs.
     pub(super) fn apply_report(&mut self, load: u64, contested: Duration, now: time::Time) {
         let peak = self.peaks[0].max(self.peaks[1]);
         let trough = self.troughs[0].min(self.troughs[1]);
@@ -104,17 +105,18 @@
     }
 }
 
-/// Load of an endpoint of another host.
+/// View of the load of an endpoint that another host owns.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct View {
     pub(super) load: u64,
     pub(super) observed_at: time::Time,
-    /// Whether the other host reports every change at once, so that silence means no change.
+    /// Whether the other host reports every change immediately, so that a missing report means no
+    /// change.
     pub(super) pushes_changes: bool,
 }
 
 impl View {
-    /// Time for which changes may not be known.
+    /// Time for which changes may not be known, by the age of the view.
     pub(super) fn staleness(&self, age: Duration) -> Duration {
         if self.pushes_changes && age <= PUSH_HORIZON {
             age.min(PUSH_DELAY)
@@ -124,24 +126,24 @@
     }
 }
 
-/// Longest time on the way of a report that is sent at once inside a domain.
+/// Maximum delivery time of a report within a domain.
 const PUSH_DELAY: Duration = Duration::from_millis(5);
 
-/// Age up to which silence of a prompt host means that nothing changed. Twice the interval at
-/// which such a host reports loads that did not change.
+/// Age of a view up to which the absence of reports from a host that pushes changes means that the
+/// load is unchanged. Twice the interval at which such a host repeats unchanged loads.
 const PUSH_HORIZON: Duration = Duration::from_millis(500);
 
-/// Loads that a mean is taken over.
+/// Sum over the loads of a mean.
 #[derive(Debug, Default)]
 pub(super) struct LoadSum {
-    /// Work that is known exactly.
+    /// Work of this host, which is known exactly.
     pub(super) own: u64,
-    /// Work that is known from views and reports.
+    /// Work of other hosts, known from views and reports.
     remote: u64,
     members: u64,
     min_load: Option<u64>,
     oldest_view_age: Duration,
-    /// Sum of the times for which completions may not be known, in seconds.
+    /// Sum of the staleness of the loads, in seconds.
     pub(super) staleness_s: f64,
 }
 
--- a/crates/core/src/routing/bound/mod.rs
+++ b/crates/core/src/routing/bound/mod.rs
@@ -1,29 +1,32 @@
-//! Bounded load: an owner admits work while no endpoint carries more than a multiple of the mean.
+//! Bounded load: owners admit work such that no endpoint exceeds a multiple of the mean load.
 //!
 //! # Rule
 //!
 //! A request of cost `q` is admitted to an endpoint with load `l` if
 //!
-//! - `l + q <= c * m`, where `m` is the mean load of the pool after the admission, or
-//! - `l` is at or below the mean before the admission. This is the floor of one request: a
-//!   request cannot be divided, and the least loaded endpoint may always take one, so that a pool
-//!   with little work never refuses everywhere.
+//! - `l + q <= c * m`, where `c` is [`Settings::multiple`] and `m` is the mean load of the pool
+//!   after the admission, or
+//! - `l` is at or below the mean before the admission. This is the floor of one request: a request
+//!   cannot be divided, and the least loaded endpoint may always take one, so that a pool with
+//!   little work never refuses at every endpoint.
 //!
-//! # Age of the mean
+//! # Staleness of the mean
 //!
-//! The owner knows the load of its own endpoints exactly. The others are [views](pool::Pool::update_view)
-//! that travel on forwarded requests, probes and load reports. A view counts until it is
-//! [`Settings::view_horizon`] old; after that its endpoint leaves the mean until a newer view
-//! comes. Work elsewhere may have ended since a view was taken, so the mean is lowered by a
-//! [margin](completions::CompletionStats::staleness_margin) that covers the completions of that time.
+//! The owner knows the load of its own endpoints exactly. The loads of the others are
+//! [views](pool::Pool::update_view), sent with forwarded requests, probes and load reports. A view
+//! expires when it is older than [`Settings::view_horizon`], and its endpoint is left out of the
+//! mean until a newer view arrives. Work at other endpoints may have ended since a view was taken,
+//! so the mean is lowered by a [margin](completions::CompletionStats::staleness_margin) that covers
+//! the completions of that time.
 //!
-//! # Two owners
+//! # Concurrent owners
 //!
-//! A host that takes an endpoint over admits nothing to it until the former owner hands it over,
-//! or until nothing was heard of the former owner for [`Settings::grace`]. What the endpoint
-//! itself reports beyond the owner's own work counts as load, so two owners that cannot hear each
-//! other still see each other's work one report later. While that lasts the endpoint is contested:
-//! each admits only up to the mean, not to the multiple.
+//! A host that takes ownership of an endpoint admits nothing to it until the former owner hands it
+//! over, or until no view of the endpoint has arrived from the former owner for
+//! [`Settings::grace`]. Load that the endpoint reports beyond the owner's work counts as load of
+//! another owner, so two owners that cannot communicate still see each other's work one report
+//! later. While this is the case, the endpoint is contested: each owner admits only up to the mean
+//! instead of the multiple.
 
 pub mod completions;
 mod member;
@@ -35,13 +38,13 @@
 
 use serde::de::Error as _;
 
-/// Smallest multiple, in hundredths.
+/// Minimum multiple, in hundredths.
 const MIN_MULTIPLE: u32 = 100;
 
-/// Largest multiple, in hundredths.
+/// Maximum multiple, in hundredths.
 const MAX_MULTIPLE: u32 = 1_600;
 
-/// Multiple of the mean load that an endpoint may carry, in hundredths from 1 to 16.
+/// Multiple of the mean load that an endpoint may have, from 1 to 16, stored in hundredths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Multiple(
     /// Invariant: from [`MIN_MULTIPLE`] to [`MAX_MULTIPLE`].
@@ -85,7 +88,7 @@
     }
 }
 
-/// A text or number that is not a multiple.
+/// Error for a text or number that is not a valid [`Multiple`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParseMultipleError;
 
@@ -144,13 +147,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Multiple of the mean load that an endpoint may carry.
+    /// Multiple of the mean load that an endpoint may have.
     pub multiple: Multiple,
-    /// Age at which the view of another owner's endpoint stops counting.
+    /// Age at which the view of another owner's endpoint expires.
     pub view_horizon: Duration,
-    /// Time without word of the former owner after which a new owner admits.
+    /// Time without a view from the former owner after which a new owner admits work.
     pub grace: Duration,
-    /// Time for which an endpoint counts as contested after its report shows another's work.
+    /// Time for which an endpoint is contested after its report shows work of another owner.
     pub contested: Duration,
 }
 
--- a/crates/core/src/routing/bound/pool.rs
+++ b/crates/core/src/routing/bound/pool.rs
@@ -1,4 +1,4 @@
-//! Endpoints of one pool with their loads, and admission to those that the host owns.
+//! Loads of the endpoints of one pool, and admission to the endpoints that the host owns.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
 /// Scale of [`bound::Multiple::as_hundredths`].
 const HUNDREDTHS: u128 = 100;
 
-/// Largest load of an endpoint that is believed. Sums over a pool cannot overflow.
+/// Maximum load of an endpoint; larger values are clamped, so that sums over a pool cannot
+/// overflow.
 const MAX_LOAD: u64 = 1 << 40;
 
 /// Why a pool refused a request. Nothing was sent to the endpoint.
@@ -18,21 +19,21 @@
 pub enum Refused {
     /// The host does not own the endpoint.
     NotOwned,
-    /// The host took the endpoint over and does not yet know what the former owner admitted.
+    /// The host is taking over the endpoint and does not know the former owner's load yet.
     TakingOver,
-    /// The endpoint is at its bound.
+    /// The endpoint is at its load bound.
     AtBound,
 }
 
-/// What another host says of the load of an endpoint that it owns.
+/// Load of an endpoint that another host owns, as reported by that host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RemoteLoad {
     /// Load of the endpoint.
     pub load: u64,
     /// Age of the observation.
     pub age: Duration,
-    /// Whether the other host reports every change at once from now on, or `None` if the message
-    /// does not say so.
+    /// Whether the other host reports every change immediately from now on, or `None` if the
+    /// message does not say.
     pub pushes_changes: Option<bool>,
 }
 
@@ -42,7 +43,7 @@
     Other(member::View),
 }
 
-/// Endpoints of one target in one failure domain, with the load of each.
+/// Endpoints of one pool in one failure domain, with the load of each.
 #[derive(Clone, Debug)]
 pub struct Pool {
     settings: bound::Settings,
@@ -62,7 +63,7 @@
     }
 
     /// Adds an endpoint of another host, which counts as idle until its first view. An endpoint
-    /// that the pool holds stays as it is.
+    /// that is already in the pool is not changed.
     pub fn join(&mut self, endpoint: entity::EndpointId, now: time::Time) {
         let idle = member::View {
             load: 0,
@@ -78,7 +79,7 @@
         self.members.remove(endpoint);
     }
 
-    /// Takes an endpoint over. `report` is the load that the endpoint itself reported last.
+    /// Takes ownership of an endpoint. `report` is the load that the endpoint last reported itself.
     ///
     /// Nothing is admitted until [`Pool::handed_over`], or until the grace period has passed
     /// without a view from the former owner.
@@ -97,7 +98,8 @@
         self.members.insert(endpoint, Member::Owned(owned));
     }
 
-    /// Notes that the former owner admits no more and left `load` in flight.
+    /// Completes the handover: the former owner admits no more work and has a residual load of
+    /// `load` in flight.
     pub fn handed_over(&mut self, endpoint: entity::EndpointId, load: u64) {
         if let Some(Member::Owned(owned)) = self.members.get_mut(endpoint) {
             owned.former_owner_expires_at = None;
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Gives an endpoint up and returns the load that this host leaves in flight.
+    /// Gives up ownership of an endpoint and returns its load, which becomes the first view of it.
     pub fn give_up(&mut self, endpoint: entity::EndpointId, now: time::Time) -> u64 {
         let Some(Member::Owned(owned)) = self.members.get(endpoint).copied() else {
             return 0;
@@ -121,10 +123,10 @@
         owned.load()
     }
 
-    /// Takes in what another host says of the load of an endpoint that it owns.
+    /// Updates the view of an endpoint that another host owns. An older observation is ignored.
     ///
-    /// If this host is taking the endpoint over, that shows that the former owner still admits,
-    /// and starts the grace period again.
+    /// If this host is taking over the endpoint, the former owner still admits work to it, so the
+    /// grace period is extended.
     pub fn update_view(
         &mut self,
         endpoint: entity::EndpointId,
@@ -153,8 +155,7 @@
         }
     }
 
-    /// Takes in the load that an owned endpoint reports of itself, at most one report interval
-    /// late.
+    /// Applies the load that an owned endpoint reports itself, at most one report interval late.
     pub fn apply_report(&mut self, endpoint: entity::EndpointId, load: u64, now: time::Time) {
         if let Some(Member::Owned(owned)) = self.members.get_mut(endpoint) {
             owned.apply_report(load.min(MAX_LOAD), self.settings.contested, now);
@@ -167,7 +168,7 @@
         self.mean_of(self.members.keys(), now)
     }
 
-    /// Mean load of the given members. Endpoints that the pool does not hold are left out.
+    /// Mean load of the given endpoints. Endpoints that are not in the pool are left out.
     #[must_use]
     pub fn mean_of<I>(&self, endpoints: I, now: time::Time) -> Mean
     where
@@ -189,11 +190,12 @@
         sum.mean(margin.ceil() as u64)
     }
 
-    /// Whether a request of this cost may be sent to the endpoint now.
+    /// Checks whether a request of this cost may be sent to the endpoint now, under the bound
+    /// relative to the mean of the whole pool.
     ///
     /// # Errors
     ///
-    /// Returns why not.
+    /// Returns why it may not.
     pub fn check(
         &self,
         endpoint: entity::EndpointId,
@@ -203,12 +205,12 @@
         self.check_against(endpoint, cost, &self.mean(now), now)
     }
 
-    /// Whether a request of this cost may be sent to the endpoint now, under the bound that a
-    /// mean gives.
+    /// Checks whether a request of this cost may be sent to the endpoint now, under the bound
+    /// relative to `mean`.
     ///
     /// # Errors
     ///
-    /// Returns why not.
+    /// Returns why it may not.
     pub fn check_against(
         &self,
         endpoint: entity::EndpointId,
@@ -234,7 +236,7 @@
         if fits { Ok(()) } else { Err(Refused::AtBound) }
     }
 
-    /// Whether a load may grow by `cost` under the bound that a mean gives.
+    /// Whether a load may grow by `cost` under the bound relative to `mean`.
     #[must_use]
     pub fn fits(&self, load: u64, cost: u64, mean: &Mean) -> bool {
         let members = u128::from(mean.members.max(1));
@@ -251,7 +253,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why the endpoint gets no more work; the pool is unchanged.
+    /// Returns why the request was not admitted. The pool is unchanged.
     pub fn admit(
         &mut self,
         endpoint: entity::EndpointId,
@@ -263,7 +265,7 @@
         Ok(())
     }
 
-    /// Counts work that this host still has in flight at an endpoint that it takes over again.
+    /// Adds work that this host still has in flight from an earlier period of ownership.
     pub fn add_in_flight(&mut self, endpoint: entity::EndpointId, load: u64) {
         if let Some(Member::Owned(owned)) = self.members.get_mut(endpoint) {
             owned.own = owned.own.saturating_add(load).min(MAX_LOAD);
@@ -272,7 +274,7 @@
     }
 
     /// Counts the cost of a request that [`Pool::check_against`] admitted, until
-    /// [`Pool::complete`]. An endpoint that was being taken over now counts as owned.
+    /// [`Pool::complete`]. A takeover of the endpoint that was in progress is complete.
     pub fn record_start(&mut self, endpoint: entity::EndpointId, cost: u64) {
         if let Some(Member::Owned(owned)) = self.members.get_mut(endpoint) {
             owned.former_owner_expires_at = None;
@@ -282,8 +284,8 @@
         }
     }
 
-    /// Notes that an admitted request of this cost has ended. A request of an endpoint that was
-    /// given up is no longer counted here.
+    /// Records that an admitted request of this cost has ended. Has no effect for an endpoint that
+    /// was given up, whose requests are no longer counted here.
     pub fn complete(&mut self, endpoint: entity::EndpointId, cost: u64, now: time::Time) {
         if let Some(Member::Owned(owned)) = self.members.get_mut(endpoint) {
             owned.own = owned.own.saturating_sub(cost);
@@ -292,7 +294,7 @@
         }
     }
 
-    /// Load of an endpoint as far as it is known.
+    /// Load of an endpoint, or `None` if it is not in the pool or its view has expired.
     #[must_use]
     pub fn load(&self, endpoint: entity::EndpointId, now: time::Time) -> Option<u64> {
         match self.members.get(endpoint)? {
@@ -316,7 +318,8 @@
         matches!(self.members.get(endpoint), Some(Member::Owned(_)))
     }
 
-    /// Loads of the owned endpoints that others may use as views.
+    /// Loads of the owned endpoints to report to other hosts, without endpoints that are being
+    /// taken over.
     pub fn owned_loads(&self) -> impl Iterator<Item = (entity::EndpointId, u64)> {
         self.members.iter().filter_map(|(id, member)| match member {
             Member::Owned(owned) if owned.former_owner_expires_at.is_none() => {
@@ -326,8 +329,8 @@
         })
     }
 
-    /// Expected time until an endpoint has room for a request of this cost, or `None` if the
-    /// pool cannot tell.
+    /// Expected time until the bound admits a request of this cost, or `None` if the load or the
+    /// completion rate is unknown.
     #[must_use]
     pub fn expected_wait(
         &self,
@@ -353,8 +356,8 @@
     }
 }
 
-/// Whether a load may grow by `cost` at an endpoint to which another host may admit as well: only
-/// up to the mean. The cost includes a large request that the other may admit unseen.
+/// Whether a load may grow by `cost` at a contested endpoint, where only the mean is allowed. The
+/// cost includes a large request that the other owner may admit at the same time.
 fn fits_in_mean(load: u64, cost: u64, mean: &Mean) -> bool {
     let after = u128::from(load) + u128::from(cost);
     let idle = load == 0 && mean.sum == 0;
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -86,7 +86,7 @@
             .get_or_insert_with(endpoint, || cache::View::new(settings));
     }
 
-    /// Gives up ownership of an endpoint and returns the residual load of this host there.
+    /// Gives up ownership of an endpoint and returns its load.
     pub fn give_up(&mut self, endpoint: entity::EndpointId, now: time::Time) -> u64 {
         self.caches.remove(endpoint);
         self.pool.give_up(endpoint, now)
--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -1,4 +1,4 @@
-//! Bound of the load at each admission.
+//! Load bound at each admission, under stale views, handovers and concurrent owners.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -33,7 +33,7 @@
     }
 }
 
-/// What may happen to the pools of three hosts.
+/// A step in the history of the pools of three hosts.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Advance(u64),
@@ -97,15 +97,15 @@
     cost: u64,
 }
 
-/// Pools of three hosts, and what each may at most know of the loads.
+/// Pools of three hosts, with the largest loads that each may know.
 struct Fleet {
     multiple: f64,
     pools: Vec<pool::Pool>,
     running: Vec<Running>,
     now: time::Time,
-    /// Largest load that a host was told of an endpoint and may still believe.
-    told: BTreeMap<(usize, usize), u64>,
-    /// When a host that took an endpoint over may admit at the earliest.
+    /// Largest load of an endpoint that a host ever observed, by host and endpoint.
+    max_known: BTreeMap<(usize, usize), u64>,
+    /// Earliest admission of a host that is taking over an endpoint, by host and endpoint.
     closed_until: BTreeMap<(usize, usize), time::Time>,
     admissions: u64,
 }
@@ -127,7 +127,7 @@
             pools,
             running: Vec::new(),
             now: time::Time::from_secs(100),
-            told: BTreeMap::new(),
+            max_known: BTreeMap::new(),
             closed_until: BTreeMap::new(),
             admissions: 0,
         }
@@ -148,7 +148,7 @@
 
     fn arrive(&mut self, host: usize, index: usize, cost: u64) -> bool {
         let known: Vec<u64> = (0..ENDPOINTS)
-            .map(|e| self.own(host, e) + self.told.get(&(host, e)).copied().unwrap_or(0))
+            .map(|e| self.own(host, e) + self.max_known.get(&(host, e)).copied().unwrap_or(0))
             .collect();
         let members = self.pools[host].mean(self.now).members.max(1) as f64;
         if self.pools[host]
@@ -198,8 +198,8 @@
             };
             let taking_over = self.closed_until.contains_key(&(to, id.index()));
             self.pools[to].update_view(id, remote, self.now);
-            let told = self.told.entry((to, id.index())).or_default();
-            *told = (*told).max(load);
+            let known = self.max_known.entry((to, id.index())).or_default();
+            *known = (*known).max(load);
             if taking_over && self.pools[to].owns(id) {
                 let until = self.now - age + bound::Settings::default().grace;
                 let closed = self.closed_until.entry((to, id.index())).or_default();
@@ -216,8 +216,8 @@
         }
         let load = self.load(index);
         self.pools[host].take_over(endpoint(index), load, self.now);
-        let told = self.told.entry((host, index)).or_default();
-        *told = (*told).max(load);
+        let known = self.max_known.entry((host, index)).or_default();
+        *known = (*known).max(load);
         let until = self.now + bound::Settings::default().grace;
         self.closed_until.insert((host, index), until);
     }
@@ -228,16 +228,16 @@
         }
         let left = self.pools[host].give_up(endpoint(index), self.now);
         self.closed_until.remove(&(host, index));
-        let told = self.told.entry((host, index)).or_default();
-        *told = (*told).max(left);
+        let known = self.max_known.entry((host, index)).or_default();
+        *known = (*known).max(left);
         let Some(to) = to.filter(|to| *to != host) else {
             return;
         };
         if self.pools[to].owns(endpoint(index)) {
             self.pools[to].handed_over(endpoint(index), left);
             self.closed_until.remove(&(to, index));
-            let told = self.told.entry((to, index)).or_default();
-            *told = (*told).max(left);
+            let known = self.max_known.entry((to, index)).or_default();
+            *known = (*known).max(left);
         }
     }
 
@@ -245,8 +245,8 @@
         let load = self.load(index);
         for host in 0..HOSTS {
             self.pools[host].apply_report(endpoint(index), load, self.now);
-            let told = self.told.entry((host, index)).or_default();
-            *told = (*told).max(load);
+            let known = self.max_known.entry((host, index)).or_default();
+            *known = (*known).max(load);
         }
     }
 
@@ -284,7 +284,7 @@
         }
     }
 
-    /// Every host learns every load at once.
+    /// Sends all loads to all hosts without delay.
     fn refresh(&mut self) {
         for from in 0..HOSTS {
             for to in 0..HOSTS {
@@ -297,10 +297,10 @@
 proptest::proptest! {
     #![proptest_config(config())]
 
-    /// No host admits above the bound of the largest mean that it was ever told, nor while it is
-    /// taking an endpoint over, whatever else happens.
+    /// No host admits above the bound relative to the largest mean that it ever observed, nor while
+    /// it is taking over an endpoint, under any sequence of steps.
     #[test]
-    fn admissions_keep_the_bound_that_the_owner_knows(
+    fn admissions_keep_the_bound_of_the_largest_known_mean(
         steps in steps(),
         hundredths in prop_oneof![Just(110_u32), Just(125), Just(150), Just(200)],
     ) {
@@ -308,10 +308,10 @@
         steps.into_iter().for_each(|step| fleet.step(step));
     }
 
-    /// With one owner each and loads known at once, the true loads keep the bound, and a pool
-    /// always admits at some endpoint.
+    /// With one owner per endpoint and loads without delay, the actual loads keep the bound, and
+    /// some endpoint of the pool always admits.
     #[test]
-    fn fresh_loads_keep_the_true_bound_and_never_refuse_everywhere(
+    fn current_loads_keep_the_bound_and_never_refuse_at_every_endpoint(
         requests in proptest::collection::vec((0..ENDPOINTS, 1_u64..500, 0_usize..64), 1..200),
         hundredths in prop_oneof![Just(110_u32), Just(125), Just(150)],
     ) {
@@ -353,7 +353,7 @@
 }
 
 #[test]
-fn a_new_owner_waits_until_the_former_one_hands_over_or_falls_silent() {
+fn a_new_owner_waits_for_the_handover_or_the_grace_period() {
     let start = time::Time::from_secs(10);
     let grace = bound::Settings::default().grace;
     let mut pool = two_endpoints(1_000, start);
@@ -384,7 +384,7 @@
 }
 
 #[test]
-fn work_of_another_owner_counts_and_allows_only_the_mean() {
+fn work_of_another_owner_limits_admission_to_the_mean() {
     let now = time::Time::from_secs(10);
     let mut pool = two_endpoints(1_000, now);
     for _ in 0..10 {
@@ -403,7 +403,7 @@
 }
 
 #[test]
-fn old_views_leave_the_mean_and_stale_ones_lower_it() {
+fn expired_views_leave_the_mean_and_stale_ones_lower_it() {
     let now = time::Time::from_secs(10);
     let mut pool = two_endpoints(10_000, now);
     for _ in 0..50 {
@@ -417,7 +417,7 @@
 }
 
 #[test]
-fn only_owned_endpoints_admit_and_hostile_loads_do_not_overflow() {
+fn only_owned_endpoints_admit_and_huge_loads_do_not_overflow() {
     let now = time::Time::from_secs(10);
     let mut pool = two_endpoints(u64::MAX, now);
     assert_eq!(
@@ -437,7 +437,7 @@
 }
 
 #[test]
-fn multiples_are_checked_and_shown_as_ratios() {
+fn multiples_are_validated_and_displayed_as_ratios() {
     assert_eq!("1.25".parse(), Ok(bound::Multiple::default()));
     assert_eq!(bound::Multiple::default().to_string(), "1.25");
     for text in ["0.99", "0", "NaN", "16.1", "x"] {
