--- a/crates/core/tests/cache.rs
+++ b/crates/core/tests/cache.rs
@@ -1,4 +1,4 @@
-//! Views of prefix caches, and the choice that they serve.
+//! Views of prefix caches, spill decisions, and the rate of load reports.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     cache::View::new(cache::Settings { entries })
 }
 
-/// Events of a cache with what it holds after each.
+/// Random events of a cache, with its content after the last one.
 fn history(rng: &mut rand_chacha::ChaCha8Rng) -> (Vec<cache::Event>, BTreeMap<u64, u64>) {
     let mut held = BTreeMap::new();
     let mut events = Vec::new();
@@ -65,16 +65,16 @@
 }
 
 #[test]
-fn late_and_repeated_events_give_the_same_view() {
+fn reordered_and_duplicate_events_give_the_same_view() {
     for seed in 0..20 {
         let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         let (events, held) = history(&mut rng);
-        let mut late = events.clone();
-        late[1..]
+        let mut reordered = events.clone();
+        reordered[1..]
             .chunks_mut(30)
             .for_each(|chunk| chunk.shuffle(&mut rng));
         let mut view = view(1_000);
-        for event in late.iter().chain(&events) {
+        for event in reordered.iter().chain(&events) {
             assert_eq!(view.apply_event(*event), cache::FollowUp::None);
         }
         assert_holds(&view, &held);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_lost_event_asks_for_a_listing_that_makes_the_view_whole() {
+fn a_lost_event_requires_a_snapshot_that_repairs_the_view() {
     for seed in 0..20 {
         let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         let (events, held) = history(&mut rng);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_listing_older_than_the_view_is_ignored_and_newer_events_stay() {
+fn a_snapshot_older_than_the_view_is_ignored_and_newer_events_stay() {
     let mut view = view(1_000);
     (0..10).for_each(|seq| assert_eq!(view.apply_event(stored(seq, seq)), cache::FollowUp::None));
     view.load_snapshot(5, []);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_view_keeps_to_its_bound_and_forgets_the_oldest() {
+fn a_full_view_evicts_the_least_recently_used_chat() {
     let mut view = view(8);
     for seq in 0..100 {
         view.apply_event(stored(seq, seq));
@@ -131,7 +131,7 @@
 }
 
 /// Endpoint 0 holds 4,000 tokens and may be at its bound; endpoint 1 holds nothing.
-fn choices(wait: Option<Duration>, remote: bool) -> [spill::EndpointOption; 2] {
+fn options(wait: Option<Duration>, remote: bool) -> [spill::EndpointOption; 2] {
     let holder = spill::EndpointOption {
         endpoint: entity::EndpointId::from_index(0),
         held: units::Tokens(4_000),
@@ -157,23 +157,23 @@
 }
 
 #[test]
-fn the_holder_is_taken_while_it_admits() {
+fn the_holder_is_selected_while_it_admits() {
     let decision = choose(
         spill::Settings::default(),
-        &choices(Some(Duration::ZERO), false),
+        &options(Some(Duration::ZERO), false),
     );
     let endpoint = entity::EndpointId::from_index(0);
     assert_eq!(decision, Some(spill::Decision::Send { endpoint }));
 }
 
 #[test]
-fn a_short_wait_is_worth_it_and_a_long_one_is_an_import() {
+fn a_short_wait_beats_an_import_and_a_long_wait_does_not() {
     let settings = spill::Settings::default();
-    let short = choose(settings, &choices(Some(Duration::from_millis(20)), false));
+    let short = choose(settings, &options(Some(Duration::from_millis(20)), false));
     assert!(
         matches!(short, Some(spill::Decision::Wait { at_most, .. }) if at_most == settings.max_wait)
     );
-    let long = choose(settings, &choices(Some(Duration::from_secs(2)), false));
+    let long = choose(settings, &options(Some(Duration::from_secs(2)), false));
     let bytes = units::ByteSize(4_000 * settings.kv_bytes_per_token);
     let endpoint = entity::EndpointId::from_index(1);
     let from = entity::EndpointId::from_index(0);
@@ -188,17 +188,17 @@
 }
 
 #[test]
-fn a_slow_link_means_reading_again() {
+fn prefill_beats_an_import_over_a_slow_link() {
     let settings = spill::Settings {
         domain_bytes_per_s: 1_000_000,
         ..Default::default()
     };
-    let decision = choose(settings, &choices(None, false));
+    let decision = choose(settings, &options(None, false));
     assert!(matches!(decision, Some(spill::Decision::Send { endpoint }) if endpoint.index() == 1));
 }
 
 #[test]
-fn imports_between_domains_keep_to_their_budget() {
+fn imports_between_domains_stay_within_their_budget() {
     let settings = spill::Settings {
         cross_bytes_per_s: 10_000_000_000,
         cross_price: 1,
@@ -206,21 +206,21 @@
         ..Default::default()
     };
     let mut chooser = spill::Chooser::new(settings, time::Time::ZERO);
-    let mut moved = 0;
+    let mut imported = 0;
     for tenth in 0..600 {
         let now = time::Time::from_millis(100 * tenth);
-        let decision = chooser.choose(units::Tokens(4_100), 400, &choices(None, true), now);
+        let decision = chooser.choose(units::Tokens(4_100), 400, &options(None, true), now);
         if let Some(spill::Decision::Import { bytes, .. }) = decision {
-            moved += bytes.0;
+            imported += bytes.0;
         }
     }
     let seconds = 60 + spill::BUDGET_WINDOW.as_secs();
-    assert!(moved > 0 && moved <= settings.cross_budget_bytes_per_s * seconds);
+    assert!(imported > 0 && imported <= settings.cross_budget_bytes_per_s * seconds);
 }
 
 #[test]
-fn the_setting_moves_from_even_load_to_reuse() {
-    let mut options = choices(Some(Duration::ZERO), false);
+fn the_reuse_setting_trades_even_load_for_cache_reuse() {
+    let mut options = options(Some(Duration::ZERO), false);
     options[1].load = Some(850);
     let at = |reuse| {
         let settings = spill::Settings {
@@ -233,14 +233,14 @@
 }
 
 #[test]
-fn nothing_is_chosen_when_nothing_admits() {
-    let mut options = choices(None, false);
+fn there_is_no_decision_when_no_endpoint_admits() {
+    let mut options = options(None, false);
     options[1].wait = None;
     assert_eq!(choose(spill::Settings::default(), &options), None);
 }
 
 #[test]
-fn load_reports_keep_to_their_budget() {
+fn load_reports_stay_within_their_budget() {
     let settings = pacer::Settings::default();
     for peers in [2, 51] {
         let mut pacer = pacer::ReportPacer::new(settings);
@@ -265,14 +265,14 @@
 }
 
 #[test]
-fn a_host_promises_prompt_reports_only_while_its_budget_lasts() {
+fn a_host_announces_that_it_pushes_changes_only_while_its_budget_lasts() {
     let mut pacer = pacer::ReportPacer::new(pacer::Settings::default());
     let now = time::Time::from_secs(1);
-    let mut promised = true;
+    let mut pushes_changes = true;
     let mut sent = 0;
-    while promised {
+    while pushes_changes {
         assert_eq!(pacer.schedule(2, now), Some(now));
-        promised = pacer.record_sent(2, now);
+        pushes_changes = pacer.record_sent(2, now);
         sent += 1;
     }
     assert!(sent > 8);
