--- a/crates/core/src/owner/mod.rs
+++ b/crates/core/src/owner/mod.rs
@@ -144,7 +144,7 @@
     }
 
     /// Opens an endpoint that the host owns, or updates its slots. Returns whether the host took
-    /// ownership with this call: no work is sent to the endpoint until [`Owner::handed_over`] or
+    /// ownership with this call: no work is sent to the endpoint until [`Owner::record_handover`] or
     /// the end of the grace period.
     pub fn open(
         &mut self,
@@ -172,14 +172,14 @@
 
     /// Completes the handover of an endpoint: no other host admits work to it any more, and other
     /// hosts have a residual load of `load` in flight there. Called again when that load changes.
-    pub fn handed_over(
+    pub fn record_handover(
         &mut self,
         now: time::Time,
         endpoint: entity::EndpointId,
         load: u64,
     ) -> Effects {
         if let Some(&class) = self.classes.get(endpoint) {
-            self.pool_mut(class).handed_over(endpoint, load);
+            self.pool_mut(class).record_handover(endpoint, load);
         }
         self.dispatch_queued_at(now, endpoint)
     }
--- a/crates/core/src/routing/bound/pool.rs
+++ b/crates/core/src/routing/bound/pool.rs
@@ -81,7 +81,7 @@
 
     /// Takes ownership of an endpoint. `report` is the load that the endpoint last reported itself.
     ///
-    /// Nothing is admitted until [`Pool::handed_over`], or until the grace period has passed
+    /// Nothing is admitted until [`Pool::record_handover`], or until the grace period has passed
     /// without a view from the former owner.
     pub fn take_over(&mut self, endpoint: entity::EndpointId, report: u64, now: time::Time) {
         if let Some(Member::Owned(_)) = self.members.get(endpoint) {
@@ -100,7 +100,7 @@
 
     /// Completes the handover: the former owner admits no more work and has a residual load of
     /// `load` in flight.
-    pub fn handed_over(&mut self, endpoint: entity::EndpointId, load: u64) {
+    pub fn record_handover(&mut self, endpoint: entity::EndpointId, load: u64) {
         if let Some(Member::Owned(owned)) = self.members.get_mut(endpoint) {
             owned.former_owner_expires_at = None;
             owned.contested_until = time::Time::ZERO;
--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -118,7 +118,7 @@
                 pool.join(endpoint(index), time::Time::ZERO);
                 if index % HOSTS == host {
                     pool.take_over(endpoint(index), 0, time::Time::ZERO);
-                    pool.handed_over(endpoint(index), 0);
+                    pool.record_handover(endpoint(index), 0);
                 }
             }
         }
@@ -234,7 +234,7 @@
             return;
         };
         if self.pools[to].owns(endpoint(index)) {
-            self.pools[to].handed_over(endpoint(index), left);
+            self.pools[to].record_handover(endpoint(index), left);
             self.closed_until.remove(&(to, index));
             let known = self.max_known.entry((to, index)).or_default();
             *known = (*known).max(left);
@@ -342,7 +342,7 @@
     pool.join(endpoint(0), now);
     pool.join(endpoint(1), now);
     pool.take_over(endpoint(0), 0, now);
-    pool.handed_over(endpoint(0), 0);
+    pool.record_handover(endpoint(0), 0);
     let remote = pool::RemoteLoad {
         load,
         age: Duration::ZERO,
@@ -375,7 +375,7 @@
         Err(pool::Refused::TakingOver)
     );
     let mut handed_over = pool.clone();
-    handed_over.handed_over(endpoint(1), 0);
+    handed_over.record_handover(endpoint(1), 0);
     assert_eq!(handed_over.admit(endpoint(1), 10, first_end), Ok(()));
     assert_ne!(
         pool.admit(endpoint(1), 10, heard + grace),
--- a/crates/core/tests/owner.rs
+++ b/crates/core/tests/owner.rs
@@ -83,7 +83,7 @@
         dispatched(&owner.offer(now, endpoint(0), work(2, 100, true))),
         0
     );
-    assert_eq!(dispatched(&owner.handed_over(now, endpoint(0), 0)), 1);
+    assert_eq!(dispatched(&owner.record_handover(now, endpoint(0), 0)), 1);
     assert_eq!(
         owner.owned_loads().collect::<Vec<_>>(),
         [(endpoint(0), 100)]
@@ -109,7 +109,7 @@
 fn queued_work_is_bounded_and_dispatched_when_the_mean_rises() {
     let mut owner = owner();
     let now = time::Time::from_millis(10);
-    owner.handed_over(now, endpoint(0), 0);
+    owner.record_handover(now, endpoint(0), 0);
     view(&mut owner, now, 1_000);
     let offers = (0..20).map(|number| owner.offer(now, endpoint(0), work(number, 100, true)));
     let started: usize = offers.collect::<Vec<_>>().iter().map(dispatched).sum();
@@ -125,7 +125,7 @@
 fn a_former_owner_reports_its_residual_load_until_it_has_ended() {
     let mut owner = owner();
     let now = time::Time::from_millis(10);
-    owner.handed_over(now, endpoint(0), 0);
+    owner.record_handover(now, endpoint(0), 0);
     let running = work(1, 100, true);
     let id = running.id;
     assert_eq!(dispatched(&owner.offer(now, endpoint(0), running)), 1);
--- a/crates/measure/src/routing/fleet/departures.rs
+++ b/crates/measure/src/routing/fleet/departures.rs
@@ -83,7 +83,7 @@
         if let Some(owner) = self.world.owner(endpoint) {
             let state = &mut self.owners[owner.index()];
             state.take_over(endpoint, 0, now);
-            state.pool_mut().handed_over(endpoint, 0);
+            state.pool_mut().record_handover(endpoint, 0);
             self.loads_changed(owner, now);
         }
         for other in self.world.endpoints() {
--- a/crates/measure/src/routing/fleet/mod.rs
+++ b/crates/measure/src/routing/fleet/mod.rs
@@ -165,7 +165,7 @@
             if let Some(owner) = self.world.owner(endpoint) {
                 let state = &mut self.owners[owner.index()];
                 state.take_over(endpoint, 0, time::Time::ZERO);
-                state.pool_mut().handed_over(endpoint, 0);
+                state.pool_mut().record_handover(endpoint, 0);
             }
         }
         for (number, arrival) in self.trace.iter().enumerate() {
--- a/crates/measure/src/slopes/roles.rs
+++ b/crates/measure/src/slopes/roles.rs
@@ -176,7 +176,7 @@
         let now = time::Time::from_secs(1);
         for &endpoint in &pool {
             owner.open(now, endpoint, owner::Class::Engine, 36);
-            owner.handed_over(now, endpoint, 0);
+            owner.record_handover(now, endpoint, 0);
         }
         sample::nanos(CALLS, |i| {
             let endpoint = pool[i as usize % pool.len()];
--- a/crates/runtime/src/control/loads.rs
+++ b/crates/runtime/src/control/loads.rs
@@ -71,7 +71,7 @@
         }
         let peers = self.peers();
         if self.handovers.claim(endpoint.id, peers) {
-            let effects = self.owner.handed_over(now, endpoint.id, 0);
+            let effects = self.owner.record_handover(now, endpoint.id, 0);
             self.deliver(effects);
         }
     }
@@ -175,7 +175,7 @@
                 .handovers
                 .record_answer(report.from, left.endpoint, left.load)
             {
-                let effects = self.owner.handed_over(now, left.endpoint, load);
+                let effects = self.owner.record_handover(now, left.endpoint, load);
                 self.deliver(effects);
             }
         }
@@ -184,7 +184,7 @@
     /// Takes in that a host cannot be reached any more.
     pub(super) fn host_gone(&mut self, now: time::Time, host: entity::HostId) {
         for (endpoint, load) in self.handovers.host_down(host) {
-            let effects = self.owner.handed_over(now, endpoint, load);
+            let effects = self.owner.record_handover(now, endpoint, load);
             self.deliver(effects);
         }
     }
