--- a/crates/gateway/src/control/links/incoming.rs
+++ b/crates/gateway/src/control/links/incoming.rs
@@ -12,8 +12,7 @@
 use crate::control::links::apply_cached_parts;
 use crate::control::state::HostEntry;
 use crate::control::{Context, sync};
-use crate::sockets;
-use crate::{adapter, events};
+use crate::{adapter, events, sockets};
 
 /// Accepts the links of other hosts.
 pub(in crate::control) async fn accept<D, S>(cx: Rc<Context<D, S>>, listener: net::TcpListener)
@@ -145,7 +144,7 @@
         }
         peer::Message::Want(version) => send_updates(cx, sender, version),
         peer::Message::Catalog(content) => {
-            cx.offer_catalog(*content, events::Source::Host(sender.clone()));
+            cx.apply_catalog(*content, events::Source::Host(sender.clone()));
         }
         peer::Message::Endpoints { complete, records } => {
             let mut any = false;
--- a/crates/gateway/src/control/links/mod.rs
+++ b/crates/gateway/src/control/links/mod.rs
@@ -20,9 +20,8 @@
 use pistachiochute_runtime::clock;
 use tokio::sync::mpsc;
 
-use crate::adapter;
 use crate::control::Context;
-use crate::sockets;
+use crate::{adapter, sockets};
 
 use outgoing::{CatchUp, SentState};
 
--- a/crates/gateway/src/control/links/outgoing.rs
+++ b/crates/gateway/src/control/links/outgoing.rs
@@ -55,7 +55,7 @@
         self.sent_at = now;
         Some(peer::Message::Status {
             known: version,
-            store: cx.store_calls(now),
+            store: cx.store_health(now),
             loads: changed,
         })
     }
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -127,7 +127,7 @@
     S: adapter::Store,
 {
     /// Applies and publishes a catalog if it is newer than the current one.
-    fn offer_catalog(&self, content: catalog::Content, source: events::Source) {
+    fn apply_catalog(&self, content: catalog::Content, source: events::Source) {
         let version = content.version;
         let result = self.state.borrow_mut().catalog.update(content);
         if result == catalog::UpdateResult::Applied {
@@ -172,7 +172,7 @@
     }
 
     /// Health of this host's connection to the store.
-    fn store_calls(&self, now: time::Time) -> peer::StoreHealth {
+    fn store_health(&self, now: time::Time) -> peer::StoreHealth {
         let millis = |span: Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
         peer::StoreHealth {
             catalog_age_ms: millis(self.shared.catalog_age(now)),
@@ -207,12 +207,12 @@
     /// and publishes loads, metrics and cached prompt parts.
     fn tick(&self) {
         let now = clock::now();
-        let lapsed = self.state.borrow_mut().directory.tick(now);
+        let expired = self.state.borrow_mut().directory.tick(now);
         self.state.borrow_mut().hosts.tick(now);
-        for (key, revision) in &lapsed {
+        for (key, revision) in &expired {
             self.events.endpoint_changed(key, *revision, None);
         }
-        if !lapsed.is_empty() {
+        if !expired.is_empty() {
             self.publish();
         }
         let mut state = self.state.borrow_mut();
--- a/crates/gateway/src/control/sync.rs
+++ b/crates/gateway/src/control/sync.rs
@@ -175,7 +175,7 @@
         return;
     }
     match cx.dialect.decode_catalog(&entry.value) {
-        Ok(content) => cx.offer_catalog(content, events::Source::Store),
+        Ok(content) => cx.apply_catalog(content, events::Source::Store),
         Err(e) => cx.events.entry_invalid(&entry.key, entry.modified, &e),
     }
 }
--- a/crates/gateway/src/traffic/endpoints.rs
+++ b/crates/gateway/src/traffic/endpoints.rs
@@ -335,7 +335,7 @@
             for part in new_parts {
                 let part = hash.map(|endpoint| peer::CachedPart { part, endpoint });
                 part.into_iter()
-                    .for_each(|h| cx.shared.local_cached_parts.push(h));
+                    .for_each(|part| cx.shared.local_cached_parts.push(part));
             }
         }
         drop(endpoints);
