--- a/crates/gateway/src/control/cache_recovery.rs
+++ b/crates/gateway/src/control/cache_recovery.rs
@@ -17,7 +17,7 @@
 use crate::control::{Context, links};
 use crate::{adapter, http_client, shared};
 
-/// Time in which other hosts can send their index.
+/// Time that other hosts are given to open their links and send their index.
 const PEER_WAIT: Duration = Duration::from_millis(200);
 
 /// Uptime from which on another host counts as having an index.
--- a/crates/gateway/src/control/sync.rs
+++ b/crates/gateway/src/control/sync.rs
@@ -31,7 +31,7 @@
 /// Longest time that other tasks wait for the catalog sync to reach the store again.
 const MAX_STORE_WAIT: Duration = Duration::from_secs(4);
 
-/// Interval at which a live relay is checked for.
+/// Interval at which a waiting sync checks whether a relay is still live.
 const RELAY_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Sleeps for an exponential backoff with jitter.
--- a/crates/gateway/src/traffic/report.rs
+++ b/crates/gateway/src/traffic/report.rs
@@ -128,7 +128,7 @@
         self.arrived
     }
 
-    /// Deadline of the request; its arrival until it is routed.
+    /// Deadline of the request, or its time of arrival if it has not been routed.
     pub(super) const fn deadline(&self) -> time::Time {
         self.deadline
     }
