--- a/crates/core/src/limits/claims.rs
+++ b/crates/core/src/limits/claims.rs
@@ -299,8 +299,8 @@
         vec![Effect::Write(shard, version, Box::new(next))]
     }
 
-    /// Surrenders every slice before the process exits. The host must not grant anything from now
-    /// on.
+    /// Starts to surrender every slice, before the process exits. A slice is no longer used once
+    /// the read of its shard has been handled.
     pub fn drain(&mut self) -> Vec<Effect> {
         self.draining = true;
         let mut shards: Vec<_> = self.claims.keys().map(|id| id.shard).collect();
--- a/crates/core/src/limits/layout.rs
+++ b/crates/core/src/limits/layout.rs
@@ -56,7 +56,7 @@
 
 /// The slices into which the limits of one account are divided.
 ///
-/// Each slice is large enough for [`parameters::MIN_BURST_REQUESTS`] of the largest requests at
+/// Each slice is large enough for `parameters::MIN_BURST_REQUESTS` of the largest requests at
 /// once, so that its floor can start one. An account with small limits has fewer slices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Layout {
--- a/crates/core/src/limits/slice_credit.rs
+++ b/crates/core/src/limits/slice_credit.rs
@@ -44,7 +44,7 @@
     shortage: Option<(Shortage, time::Time, time::Time)>,
     refund: units::Tokens,
     overrun: units::Tokens,
-    /// Time since which there has been something to report that no request has carried.
+    /// Start of the current report period, while there is credit or usage to report to the holder.
     unreported_since: Option<time::Time>,
     /// Whether credit of the slice is scarce, so that returned credit matters.
     scarce: bool,
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -64,6 +64,6 @@
     pub from: entity::HostId,
     /// The sender's update about the receiver, so that the receiver can refute it.
     pub receiver: Option<Update>,
-    /// Updates about other subjects, at most [`MAX_UPDATES`].
+    /// Updates about other subjects, at most `MAX_UPDATES`.
     pub updates: SmallVec<[Update; 8]>,
 }
--- a/crates/core/tests/directory.rs
+++ b/crates/core/tests/directory.rs
@@ -322,7 +322,7 @@
 }
 
 /// Regression test: a relay that reached the store again found an entry missing from the list, and
-/// recorded an unconfirmed removal at the revision of the list. It told others that they knew all
+/// recorded an unconfirmed removal at the revision of the list. It reported to others that they knew all
 /// changes before that revision, so they did not ask another relay for the removal, which had
 /// happened earlier, and sent requests to the endpoint 3.4 s after it had left (run `hunt-bb55-3`
 /// of the grown deployment Lombardy).
