--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -32,7 +32,7 @@
 where
     F: Fn() -> Reply + 'static,
 {
-    let listener = tokio::net::TcpListener::from_std(listener).wrap_err("register the listener")?;
+    let listener = tokio::net::TcpListener::from_std(listener).wrap_err("listener")?;
     let reply = Rc::new(reply);
     loop {
         let stream = sockets::accept(&listener).await;
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -257,7 +257,7 @@
 
     /// A graceful stop entered a phase.
     pub fn stop_step(&self, step: &str, requests: usize) {
-        slog::info!(self.log, "graceful stop"; "step" => step, "requests" => requests);
+        slog::info!(self.log, "stop"; "step" => step, "requests" => requests);
     }
 
     /// Whether another line about a request fits into the limit of this second. Logs the number of
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -200,7 +200,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .wrap_err("build the tokio runtime")?;
+        .wrap_err("executor")?;
     let tasks = tokio::task::LocalSet::new();
     Ok(tasks.block_on(&runtime, future))
 }
