--- a/crates/gateway/src/traffic/serve.rs
+++ b/crates/gateway/src/traffic/serve.rs
@@ -177,7 +177,7 @@
     D: adapter::Dialect,
 {
     let cx = state.cx.clone();
-    // The last server error of an endpoint, which tells the caller more than a refusal.
+    // The last server error of an endpoint. It is more useful to the caller than a refusal.
     let mut last_answer: Option<CompleteAnswer> = None;
     loop {
         let now = clock::now();
