--- a/crates/core/src/choice/mod.rs
+++ b/crates/core/src/choice/mod.rs
@@ -43,7 +43,7 @@
 pub struct Request {
     /// Prompt, or `None` for a call to a plain service.
     pub prompt: Option<prompt::Prompt>,
-    /// Random number of the request, for the sample and for ties.
+    /// Number that differs between requests, for the sample and for ties.
     pub seed: u64,
 }
 
--- a/crates/core/src/owner/mod.rs
+++ b/crates/core/src/owner/mod.rs
@@ -144,8 +144,8 @@
     }
 
     /// Opens an endpoint that the host owns, or updates its slots. Returns whether the host took
-    /// ownership with this call: no work is sent to the endpoint until [`Owner::record_handover`] or
-    /// the end of the grace period.
+    /// ownership with this call. In that case, no work is sent to the endpoint until
+    /// [`Owner::record_handover`] or the end of the grace period.
     pub fn open(
         &mut self,
         now: time::Time,
--- a/crates/core/src/routing/handover.rs
+++ b/crates/core/src/routing/handover.rs
@@ -90,8 +90,9 @@
     }
 
     /// Removes the residual load of a host that is down, since its requests ended with its
-    /// connections. A missing answer of the host stays missing, because the failure detection may
-    /// be wrong. Returns the settled endpoints whose residual load changed, with that load.
+    /// connections. If the host has not answered, its answer is still required, because the failure
+    /// detection may be wrong. Returns the settled endpoints whose residual load changed, with that
+    /// load.
     pub fn host_down(&mut self, host: entity::HostId) -> SmallVec<[(entity::EndpointId, u64); 4]> {
         let with_load: SmallVec<[entity::EndpointId; 4]> = self
             .claims
