--- a/crates/core/src/lists/edit.rs
+++ b/crates/core/src/lists/edit.rs
@@ -21,7 +21,7 @@
 /// Maximum number of times that an edit reads back after a lost answer.
 const MAX_READ_BACKS: u32 = 3;
 
-/// State of an entry that its author had seen when editing it. Otherwise the edit conflicts.
+/// State of an entry that its author had seen. The edit conflicts if the state has changed since.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Base {
@@ -132,7 +132,7 @@
 /// An edit in progress.
 #[derive(Debug)]
 pub struct Edit<F> {
-    record: EditId,
+    id: EditId,
     author: Author,
     at_ms: u64,
     proposals: Proposals,
@@ -152,15 +152,9 @@
     F: Fn(&Change) -> bool,
 {
     /// Creates an edit. The first step is [`Step::Read`].
-    pub fn new(
-        record: EditId,
-        author: Author,
-        at_ms: u64,
-        proposals: Proposals,
-        allowed: F,
-    ) -> Self {
+    pub fn new(id: EditId, author: Author, at_ms: u64, proposals: Proposals, allowed: F) -> Self {
         Self {
-            record,
+            id,
             author,
             at_ms,
             proposals,
@@ -208,7 +202,7 @@
             Ok(changes) if changes.is_empty() => Step::Done(Outcome::Unchanged(stored.version())),
             Ok(changes) => {
                 let record = Record {
-                    edit: self.record,
+                    edit: self.id,
                     author: self.author.clone(),
                     at_ms: self.at_ms,
                     delta: Delta::after(stored.version(), changes),
@@ -221,8 +215,8 @@
     }
 
     /// Handles the result of [`Step::Commit`].
-    pub fn committed(&mut self, answer: CommitResult) -> Step {
-        match (answer, &self.sent) {
+    pub fn committed(&mut self, result: CommitResult) -> Step {
+        match (result, &self.sent) {
             (CommitResult::Committed, Some((_, record))) => {
                 Step::Done(Outcome::Recorded(record.delta.clone()))
             }
@@ -244,7 +238,7 @@
         let Some((cas_version, stored, history)) = read else {
             return self.retry_read_back();
         };
-        if let Some(record) = history.iter().find(|record| record.edit == self.record) {
+        if let Some(record) = history.iter().find(|record| record.edit == self.id) {
             return Step::Done(Outcome::Recorded(record.delta.clone()));
         }
         match &self.sent {
@@ -264,7 +258,7 @@
     fn retry_read_back(&mut self) -> Step {
         self.read_backs += 1;
         if self.read_backs > MAX_READ_BACKS {
-            return Step::Done(Outcome::Unresolved(self.record));
+            return Step::Done(Outcome::Unresolved(self.id));
         }
         Step::ReadBack
     }
@@ -315,21 +309,21 @@
 fn conflicts(stored: &StoredLists, all: &Proposals, proposals: &[Proposal]) -> Vec<Conflict> {
     // Replacing both lists would restore an entry that was removed after `base`, which is a
     // conflict, too.
-    let moved = match all {
+    let lists_changed = match all {
         Proposals::Whole(_, base) => stored.version().revision != *base,
         Proposals::Entries(_) => false,
     };
     let conflict = |proposal: &Proposal| {
         let revision = stored.entry_revision(&proposal.change);
-        let current = match proposal.base {
+        let is_current = match proposal.base {
             Base::Absent => revision.is_none(),
             Base::Entry(seen) => revision == Some(seen),
             Base::Lists(seen) => match revision {
                 Some(revision) => revision <= seen,
-                None => !moved,
+                None => !lists_changed,
             },
         };
-        (!current).then(|| Conflict {
+        (!is_current).then(|| Conflict {
             yours: proposal.change.clone(),
             theirs: stored.entry_as_change(&proposal.change),
             revision,
@@ -408,8 +402,8 @@
 
     /// Handles the result of [`ResolveStep::Commit`].
     #[must_use]
-    pub fn committed(&self, answer: CommitResult) -> ResolveStep {
-        match answer {
+    pub fn committed(&self, result: CommitResult) -> ResolveStep {
+        match result {
             CommitResult::Committed => ResolveStep::Done(Resolved::NotRecorded),
             CommitResult::HeadChanged => ResolveStep::Read,
             CommitResult::NotSent | CommitResult::Unknown => {
--- a/crates/core/src/lists/replica/confirm.rs
+++ b/crates/core/src/lists/replica/confirm.rs
@@ -87,9 +87,9 @@
     /// Reports of all domains with their ages. Watchers make the report of their own domain from
     /// the confirmations.
     pub(super) fn reports(&self, now: time::Time, view: &View) -> Vec<message::DomainReport> {
-        let others = self.domains.values().map(|dated| message::DomainReport {
-            age_ms: u32::try_from(now.since(dated.at).as_millis()).unwrap_or(u32::MAX),
-            ..dated.report.clone()
+        let others = self.domains.values().map(|timed| message::DomainReport {
+            age_ms: u32::try_from(now.since(timed.at).as_millis()).unwrap_or(u32::MAX),
+            ..timed.report.clone()
         });
         let mut reports: Vec<_> = if view.is_watcher() {
             let others = others.filter(|report| report.domain != view.domain());
--- a/crates/core/src/lists/replica/mod.rs
+++ b/crates/core/src/lists/replica/mod.rs
@@ -1,6 +1,7 @@
 //! Replication of the two lists to every host.
 //!
-//! Each host has a [`Replica`]. Two hosts of each domain, the watchers, watch the store. A host
+//! Each host has a [`Replica`]. The version in force on a host is the one that it applies to
+//! requests. Two hosts of each domain, the watchers, watch the store. A host
 //! that receives a new delta forwards it at once to a few peers of its domain, which are selected
 //! such that a delta reaches the whole domain in a logarithmic number of hops. Once a second, each
 //! host announces its version to one peer (anti-entropy), and watchers also to a watcher of another
--- a/crates/messages/src/peer.rs
+++ b/crates/messages/src/peer.rs
@@ -1,7 +1,7 @@
 //! Messages between hosts that call endpoints directly.
 //!
-//! Each host opens one long-lived stream to every peer and sends its messages on it as frames. The
-//! peer's messages arrive on the stream that the peer opens.
+//! A host opens one long-lived stream to each host that it is linked with, and sends its messages
+//! on it as frames. The other host's messages arrive on the stream that the other host opens.
 
 use std::net;
 use std::sync::Arc;
@@ -82,7 +82,8 @@
         known: StateVersion,
         /// Health of the sender's connection to the store.
         store: StoreHealth,
-        /// Load that the sender puts on each endpoint, or `None` if unchanged since the last one.
+        /// Load that the sender puts on each endpoint, or `None` if unchanged since the last
+        /// status.
         loads: Option<Vec<load::EndpointLoad>>,
     },
     /// Endpoint loads of other hosts, aggregated by a relay: for a relay of another domain, the
