--- a/crates/core/src/catalog/mod.rs
+++ b/crates/core/src/catalog/mod.rs
@@ -10,8 +10,8 @@
 
 pub use current::{CurrentCatalog, UpdateResult};
 pub use model::{
-    Account, AccountIndex, CallerLimits, Content, Kind, Route, RouteIndex, Service, ServiceIndex,
-    Target, Version,
+    Account, AccountIndex, CallerLimits, Content, RequestKind, Route, RouteIndex, Service,
+    ServiceIndex, Target, Version,
 };
 pub use routes::RouteTable;
 
--- a/crates/core/src/catalog/model.rs
+++ b/crates/core/src/catalog/model.rs
@@ -47,7 +47,7 @@
 /// Whether the requests of a route may be retried, and whether the response is a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum RequestKind {
     /// An idempotent call with a single response.
     Idempotent,
     /// A call with a single response that must run at most once.
@@ -58,7 +58,7 @@
     ResumableStream,
 }
 
-impl Kind {
+impl RequestKind {
     /// Whether a request may run more than once.
     #[must_use]
     pub const fn is_idempotent(self) -> bool {
@@ -91,7 +91,7 @@
     /// Path prefix. Invariant: begins and ends with a slash.
     pub prefix: Arc<str>,
     /// Whether requests may be retried, and whether the response is a stream.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Timeout of a request, including retries.
     pub timeout: Option<Duration>,
     /// Latency target of the response; for a stream, of its first event.
--- a/crates/core/src/lists/edit.rs
+++ b/crates/core/src/lists/edit.rs
@@ -48,7 +48,7 @@
     /// Changes of single entries.
     Entries(Vec<Proposal>),
     /// Replaces both lists, based on the lists at a revision.
-    Whole(crate::lists::Lists, revision::Revision),
+    Replacement(crate::lists::Lists, revision::Revision),
 }
 
 /// An entry that was changed after the author had seen it.
@@ -269,7 +269,7 @@
         let before = stored.snapshot().lists;
         let proposals = match &self.proposals {
             Proposals::Entries(proposals) => proposals.clone(),
-            Proposals::Whole(lists, base) => before
+            Proposals::Replacement(lists, base) => before
                 .changes_to(lists)
                 .into_iter()
                 .map(|change| Proposal {
@@ -310,7 +310,7 @@
     // Replacing both lists would restore an entry that was removed after `base`, which is a
     // conflict, too.
     let lists_changed = match all {
-        Proposals::Whole(_, base) => stored.version().revision != *base,
+        Proposals::Replacement(_, base) => stored.version().revision != *base,
         Proposals::Entries(_) => false,
     };
     let conflict = |proposal: &Proposal| {
@@ -348,7 +348,7 @@
     /// The edit was not recorded and never will be.
     NotRecorded,
     /// The edit is older than the history, so its outcome can no longer be determined.
-    Forgotten,
+    Expired,
     /// The store did not answer, or the result of the commit is unknown.
     Unavailable,
 }
@@ -389,7 +389,7 @@
         let full = history.len() as u64 >= storage::HISTORY_LEN;
         let oldest = history.iter().map(|record| record.edit).min();
         if full && oldest.is_some_and(|oldest| self.edit < oldest) {
-            return ResolveStep::Done(Resolved::Forgotten);
+            return ResolveStep::Done(Resolved::Expired);
         }
         let record = Record {
             edit: self.fence,
--- a/crates/core/src/retry/attempts.rs
+++ b/crates/core/src/retry/attempts.rs
@@ -115,7 +115,7 @@
 /// Counts the attempts of one request and joins their outcomes.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
-    kind: catalog::Kind,
+    kind: catalog::RequestKind,
     /// Maximum number of attempts that may reach an endpoint.
     max_reached: u32,
     /// Attempts that may have reached their endpoint.
@@ -129,7 +129,7 @@
     /// Creates the state of a request of which at most `max_reached` attempts may reach an
     /// endpoint.
     #[must_use]
-    pub const fn new(kind: catalog::Kind, max_reached: u32) -> Self {
+    pub const fn new(kind: catalog::RequestKind, max_reached: u32) -> Self {
         Self {
             kind,
             max_reached,
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pistachiochute_core::catalog::Kind;
+use pistachiochute_core::catalog::RequestKind;
 use pistachiochute_core::retry::{
     AttemptFailure, Attempts, Budget, Charge, FleetBudget, MAX_ATTEMPTS, Next, retry_after,
 };
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_lost_at_most_once_call_is_given_up_as_unknown() {
-    let mut attempts = Attempts::new(Kind::AtMostOnce, 3);
+    let mut attempts = Attempts::new(RequestKind::AtMostOnce, 3);
     let next = attempts.record_failure(AttemptFailure::ConnectionLost, || true);
     let expected = Next::GiveUp {
         reason: reason::Refusal::ConnectionLost,
@@ -51,14 +51,14 @@
 
 #[test]
 fn an_attempt_without_a_connection_is_not_charged() {
-    let mut attempts = Attempts::new(Kind::AtMostOnce, 1);
+    let mut attempts = Attempts::new(RequestKind::AtMostOnce, 1);
     let next = attempts.record_failure(AttemptFailure::NotSent, || panic!("no budget is needed"));
     assert_eq!(next, Next::Retry(reason::Retry::ConnectFailed));
 }
 
 #[test]
 fn an_idempotent_call_that_failed_goes_to_another_endpoint_within_its_limit() {
-    let mut attempts = Attempts::new(Kind::Idempotent, 2);
+    let mut attempts = Attempts::new(RequestKind::Idempotent, 2);
     let again = Next::Retry(reason::Retry::EndpointFailed);
     assert_eq!(
         attempts.record_failure(AttemptFailure::Failed, || true),
@@ -88,7 +88,7 @@
 
 #[test]
 fn an_empty_budget_ends_the_attempts() {
-    let mut attempts = Attempts::new(Kind::Idempotent, 2);
+    let mut attempts = Attempts::new(RequestKind::Idempotent, 2);
     let next = attempts.record_failure(AttemptFailure::Failed, || false);
     let expected = Next::GiveUp {
         reason: reason::Refusal::RetryBudget,
@@ -104,7 +104,7 @@
     /// run" only if every attempt was proved not to have run.
     #[test]
     fn at_most_once_holds(failures in collection::vec(any_failure(), 1..10)) {
-        let mut attempts = Attempts::new(Kind::AtMostOnce, 9);
+        let mut attempts = Attempts::new(RequestKind::AtMostOnce, 9);
         let mut may_have_run = false;
         for failure in failures {
             let next = attempts.record_failure(failure, || true);
@@ -125,7 +125,7 @@
         failures in collection::vec(any_failure(), 1..20),
         max in 1_u32..4,
     ) {
-        let mut attempts = Attempts::new(Kind::Idempotent, max);
+        let mut attempts = Attempts::new(RequestKind::Idempotent, max);
         let mut reached = 0;
         for failure in failures {
             reached += u32::from(!matches!(
--- a/crates/core/tests/catalog.rs
+++ b/crates/core/tests/catalog.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use pistachiochute_core::catalog::{
-    Account, CallerLimits, Catalog, Content, CurrentCatalog, Kind, Route, Service, ServiceIndex,
-    Target, UpdateResult, Version,
+    Account, CallerLimits, Catalog, Content, CurrentCatalog, RequestKind, Route, Service,
+    ServiceIndex, Target, UpdateResult, Version,
 };
 use pistachiochute_core::lists::KeyDigest;
 use smallvec::smallvec;
@@ -14,7 +14,7 @@
         name: name.into(),
         authority: authority.into(),
         prefix: prefix.into(),
-        kind: Kind::Idempotent,
+        kind: RequestKind::Idempotent,
         timeout: None,
         target_latency: None,
         priority: 1,
--- a/crates/core/tests/lists_edit.rs
+++ b/crates/core/tests/lists_edit.rs
@@ -282,13 +282,18 @@
         &mut store,
         3,
         "ada",
-        Proposals::Whole(mine.clone(), Revision(1)),
+        Proposals::Replacement(mine.clone(), Revision(1)),
     );
     assert!(
         matches!(&outcome, Outcome::Conflict(c) if c.len() == 1),
         "{outcome:?}"
     );
-    let outcome = edit_once(&mut store, 4, "ada", Proposals::Whole(mine, Revision(2)));
+    let outcome = edit_once(
+        &mut store,
+        4,
+        "ada",
+        Proposals::Replacement(mine, Revision(2)),
+    );
     assert!(matches!(outcome, Outcome::Recorded(_)), "{outcome:?}");
 }
 
--- a/crates/gateway/src/traffic/serve.rs
+++ b/crates/gateway/src/traffic/serve.rs
@@ -279,9 +279,9 @@
     }
     let target = route.target_latency?;
     match route.kind {
-        catalog::Kind::Idempotent => Some(target.mul_f64(CALL_STALL_FACTOR)),
-        catalog::Kind::ResumableStream => Some(target.mul_f64(STREAM_STALL_FACTOR)),
-        catalog::Kind::AtMostOnce | catalog::Kind::Stream => None,
+        catalog::RequestKind::Idempotent => Some(target.mul_f64(CALL_STALL_FACTOR)),
+        catalog::RequestKind::ResumableStream => Some(target.mul_f64(STREAM_STALL_FACTOR)),
+        catalog::RequestKind::AtMostOnce | catalog::RequestKind::Stream => None,
     }
 }
 
--- a/crates/runtime/src/admin/edits.rs
+++ b/crates/runtime/src/admin/edits.rs
@@ -84,7 +84,7 @@
             Reply::json(200, &json!({ "state": "recorded", "edit": record }))
         }
         Resolved::NotRecorded => Reply::json(200, &json!({ "state": "not_recorded" })),
-        Resolved::Forgotten => Reply::json(200, &json!({ "state": "forgotten" })),
+        Resolved::Expired => Reply::json(200, &json!({ "state": "forgotten" })),
         Resolved::Unavailable => {
             let message = "the store does not answer, so the edit stays unresolved";
             Reply::error(reason::Refusal::StoreUnavailable, message).after(STORE_RETRY)
@@ -126,7 +126,7 @@
         Err(reply) => return reply,
     };
     match verify::document(body, cx.control.catalog().as_ref()) {
-        Ok(lists) => carry_out(cx, operator, Proposals::Whole(lists, base)),
+        Ok(lists) => carry_out(cx, operator, Proposals::Replacement(lists, base)),
         Err(findings) => invalid(&findings),
     }
 }
