--- a/crates/runtime/src/endpoint/call.rs
+++ b/crates/runtime/src/endpoint/call.rs
@@ -10,7 +10,7 @@
 use pistachiochute_messages::forward;
 
 use crate::endpoint::{events, pieces};
-use crate::{client, endpoint};
+use crate::{endpoint, http_client};
 
 /// Times that a cut stream is resumed before the call fails.
 const MAX_RESUMES: u32 = 3;
@@ -99,14 +99,18 @@
         read_whole(response, pieces)
     }
 
-    fn send(&self, pieces: &pieces::Pieces, after: Option<u32>) -> Result<client::Response, Stop> {
-        let timeouts = client::Timeouts {
+    fn send(
+        &self,
+        pieces: &pieces::Pieces,
+        after: Option<u32>,
+    ) -> Result<http_client::Response, Stop> {
+        let timeouts = http_client::Timeouts {
             connect: self.timeouts.connect,
-            silence: self.timeouts.stall,
+            idle: self.timeouts.stall,
             total: Some(self.head.remaining),
         };
         let req = self.request(after).map_err(|_| malformed())?;
-        client::send(self.addr, req, timeouts, pieces.wanted()).map_err(send_failure)
+        http_client::send(self.addr, req, timeouts, pieces.wanted()).map_err(send_failure)
     }
 
     /// The request as the endpoint gets it.
@@ -160,20 +164,22 @@
 }
 
 /// A request that could not be connected did not run; any later failure may have come after.
-fn send_failure(e: client::Error) -> Stop {
+fn send_failure(e: http_client::Error) -> Stop {
     let (reason, outcome) = match e {
-        client::Error::NotSent(_) => (reason::Refusal::ConnectFailed, outcome::Outcome::NotRun),
-        client::Error::TimedOut => (reason::Refusal::Stalled, outcome::Outcome::Unknown),
-        client::Error::Lost(_) | client::Error::TooLong(_) => {
+        http_client::Error::NotSent(_) => {
+            (reason::Refusal::ConnectFailed, outcome::Outcome::NotRun)
+        }
+        http_client::Error::TimedOut => (reason::Refusal::Stalled, outcome::Outcome::Unknown),
+        http_client::Error::ConnectionLost(_) | http_client::Error::TooLong(_) => {
             (reason::Refusal::ConnectionLost, outcome::Outcome::Unknown)
         }
-        client::Error::Unwanted => return Stop::Gone,
+        http_client::Error::Cancelled => return Stop::Gone,
     };
     endpoint::Failure::new(reason, outcome).into()
 }
 
 /// Failure that an endpoint's own refusal before running stands for.
-fn refusal_of(response: &client::Response) -> Option<Stop> {
+fn refusal_of(response: &http_client::Response) -> Option<Stop> {
     let outcome = response.header(endpoint::OUTCOME_HEADER);
     if outcome != outcome::Outcome::NotRun.as_str() {
         return None;
@@ -190,7 +196,7 @@
 }
 
 fn read_events(
-    response: client::Response,
+    response: http_client::Response,
     pieces: &mut pieces::Pieces,
     progress: &mut Progress,
 ) -> Result<(), Stop> {
@@ -220,14 +226,14 @@
 }
 
 /// Reads a whole body before any of it is passed on.
-fn read_whole(response: client::Response, pieces: &mut pieces::Pieces) -> Result<(), Stop> {
+fn read_whole(response: http_client::Response, pieces: &mut pieces::Pieces) -> Result<(), Stop> {
     let cut = |reason| Stop::from(endpoint::Failure::new(reason, outcome::Outcome::Run));
-    let mut body = response.whole(u64::MAX).map_err(|e| match e {
-        client::Error::Unwanted => Stop::Gone,
-        client::Error::TimedOut => cut(reason::Refusal::Stalled),
-        client::Error::NotSent(_) | client::Error::Lost(_) | client::Error::TooLong(_) => {
-            cut(reason::Refusal::AnswerIncomplete)
-        }
+    let mut body = response.read_to_end(u64::MAX).map_err(|e| match e {
+        http_client::Error::Cancelled => Stop::Gone,
+        http_client::Error::TimedOut => cut(reason::Refusal::Stalled),
+        http_client::Error::NotSent(_)
+        | http_client::Error::ConnectionLost(_)
+        | http_client::Error::TooLong(_) => cut(reason::Refusal::AnswerIncomplete),
     })?;
     while !body.is_empty() {
         let piece = body.split_to(body.len().min(PIECE_LEN));
--- a/crates/runtime/src/endpoint/pieces.rs
+++ b/crates/runtime/src/endpoint/pieces.rs
@@ -4,7 +4,7 @@
 use pistachiochute_core::{answer, journal, request, units};
 use tokio::sync::mpsc;
 
-use crate::client;
+use crate::http_client;
 
 /// The receiver of the answer went away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -75,8 +75,8 @@
     }
 
     /// Who wants the answer.
-    pub(super) fn wanted(&self) -> client::Wanted {
-        client::Wanted::By(self.tx.clone())
+    pub(super) fn wanted(&self) -> http_client::Cancellation {
+        http_client::Cancellation::OnReceiverClosed(self.tx.clone())
     }
 
     /// Whether any part of the endpoint's answer was sent.
--- a/crates/runtime/src/host/mod.rs
+++ b/crates/runtime/src/host/mod.rs
@@ -16,7 +16,8 @@
 use crate::lists::{editor, store, sync};
 use crate::platform::etcd;
 use crate::{
-    admin, clock, control, endpoint, entry, journal, link, listener, metrics, owner, pool, settings,
+    admin, clock, control, endpoint, entry, journal, link, listener, metrics, owner, settings,
+    thread_pool,
 };
 
 /// Calls to endpoints at once.
@@ -44,8 +45,8 @@
     control: control::Control,
     links: link::Links,
     listener: listener::Listener,
-    entry_pool: pool::Pool,
-    owner_pool: pool::Pool,
+    entry_pool: thread_pool::Pool,
+    owner_pool: thread_pool::Pool,
     host_list: poll::HostListPoll,
     lists: sync::Sync,
     admin: listener::Listener,
@@ -125,7 +126,7 @@
             connect: settings.timeouts.connect,
             stall: settings.timeouts.stall,
         };
-        let owner_pool = pool::Pool::new("owner", OWNER_THREADS);
+        let owner_pool = thread_pool::Pool::new("owner", OWNER_THREADS);
         let key_value = Arc::new(etcd::Etcd::new(etcd_settings(&settings)));
         let journal = journal::Journal::start(&settings.journal, key_value.clone())?;
         let owner = owner::Server::new(
@@ -153,10 +154,10 @@
             metrics: metrics.clone(),
             log: log.clone(),
         };
-        let admin_pool = pool::Pool::new("admin", ADMIN_THREADS);
+        let admin_pool = thread_pool::Pool::new("admin", ADMIN_THREADS);
         let cfg = admin_config(&settings);
         let admin = listener::Listener::start(sockets.admin, cfg, admin_pool, Arc::new(cx))?;
-        let entry_pool = pool::Pool::new("entry", settings.bounds.connections as usize);
+        let entry_pool = thread_pool::Pool::new("entry", settings.bounds.connections as usize);
         let cx = entry::Context {
             settings: Arc::clone(&settings),
             control: control.handle(),
--- a/crates/runtime/src/client.rs
+++ b/crates/runtime/src/http_client.rs
@@ -25,26 +25,26 @@
     /// Time to make the connection.
     pub connect: Duration,
     /// Longest silence of the other end.
-    pub silence: Duration,
+    pub idle: Duration,
     /// Time until the answer is whole, or `None` for one that goes on.
     pub total: Option<Duration>,
 }
 
 /// Who wants an answer.
 #[derive(Clone, Debug)]
-pub enum Wanted {
+pub enum Cancellation {
     /// The calling thread, to the end.
-    Always,
+    Never,
     /// The receiver of a channel, as long as it is there.
-    By(mpsc::Sender<answer::Frame>),
+    OnReceiverClosed(mpsc::Sender<answer::Frame>),
 }
 
-impl Wanted {
+impl Cancellation {
     /// Waits until the answer is no longer wanted.
-    async fn ended(&self) {
+    async fn cancelled(&self) {
         match self {
-            Self::Always => std::future::pending().await,
-            Self::By(tx) => tx.closed().await,
+            Self::Never => std::future::pending().await,
+            Self::OnReceiverClosed(tx) => tx.closed().await,
         }
     }
 }
@@ -56,12 +56,12 @@
     NotSent(io::Error),
     /// The other end was silent for too long, or the time of the call is over.
     TimedOut,
-    /// The connection was lost before the answer was whole.
-    Lost(hyper::Error),
+    /// The connection was lost before the answer was complete.
+    ConnectionLost(hyper::Error),
     /// The answer is longer than this many bytes.
     TooLong(u64),
     /// The answer is no longer wanted.
-    Unwanted,
+    Cancelled,
 }
 
 impl fmt::Display for Error {
@@ -69,9 +69,9 @@
         match self {
             Self::NotSent(e) => write!(f, "connect: {e}"),
             Self::TimedOut => f.write_str("no answer in time"),
-            Self::Lost(e) => write!(f, "connection lost: {e}"),
+            Self::ConnectionLost(e) => write!(f, "connection lost: {e}"),
             Self::TooLong(max) => write!(f, "the answer is longer than {max} bytes"),
-            Self::Unwanted => f.write_str("the answer is no longer wanted"),
+            Self::Cancelled => f.write_str("the answer is no longer wanted"),
         }
     }
 }
@@ -83,9 +83,9 @@
         let kind = match &e {
             Error::NotSent(e) => e.kind(),
             Error::TimedOut => io::ErrorKind::TimedOut,
-            Error::Lost(_) => io::ErrorKind::ConnectionReset,
+            Error::ConnectionLost(_) => io::ErrorKind::ConnectionReset,
             Error::TooLong(_) => io::ErrorKind::InvalidData,
-            Error::Unwanted => io::ErrorKind::BrokenPipe,
+            Error::Cancelled => io::ErrorKind::BrokenPipe,
         };
         Self::new(kind, e)
     }
@@ -94,9 +94,9 @@
 /// A call and the executor that its connection runs on.
 struct Call {
     runtime: Runtime,
-    silence: Duration,
+    idle: Duration,
     end: Option<Instant>,
-    wanted: Wanted,
+    cancellation: Cancellation,
 }
 
 impl Call {
@@ -106,13 +106,13 @@
         F: Future<Output = T>,
     {
         self.runtime.block_on(async {
-            let silent = Instant::now() + self.silence;
-            let until = self.end.map_or(silent, |end| end.min(silent));
+            let idle_deadline = Instant::now() + self.idle;
+            let deadline = self.end.map_or(idle_deadline, |end| end.min(idle_deadline));
             tokio::select! {
                 biased;
                 arrived = arrival => Ok(arrived),
-                () = self.wanted.ended() => Err(Error::Unwanted),
-                () = time::sleep_until(until) => Err(Error::TimedOut),
+                () = self.cancellation.cancelled() => Err(Error::Cancelled),
+                () = time::sleep_until(deadline) => Err(Error::TimedOut),
             }
         })
     }
@@ -128,7 +128,7 @@
     addr: SocketAddr,
     mut req: Request<Full<Bytes>>,
     timeouts: Timeouts,
-    wanted: Wanted,
+    cancellation: Cancellation,
 ) -> Result<Response, Error> {
     let host = HeaderValue::try_from(addr.to_string());
     let host = host.map_err(|e| Error::NotSent(io::Error::other(e)))?;
@@ -148,16 +148,16 @@
     let (mut sender, end) = runtime.block_on(connecting).map_err(Error::NotSent)?;
     let call = Call {
         runtime,
-        silence: timeouts.silence,
+        idle: timeouts.idle,
         end,
-        wanted,
+        cancellation,
     };
     let answer = call.wait(sender.send_request(req))?;
-    let (head, body) = answer.map_err(Error::Lost)?.into_parts();
+    let (head, body) = answer.map_err(Error::ConnectionLost)?.into_parts();
     Ok(Response {
         head,
         body,
-        unread: Bytes::new(),
+        buffered: Bytes::new(),
         call,
     })
 }
@@ -184,7 +184,7 @@
     pub head: response::Parts,
     body: Incoming,
     /// Bytes that arrived and were not read.
-    unread: Bytes,
+    buffered: Bytes,
     call: Call,
 }
 
@@ -209,22 +209,22 @@
     /// # Errors
     ///
     /// Returns an error if the body is cut, silent, too long, or no longer wanted.
-    pub fn whole(mut self, max: u64) -> Result<Bytes, Error> {
-        let mut whole = BytesMut::new();
-        while let Some(piece) = self.piece()? {
-            if (whole.len() + piece.len()) as u64 > max {
+    pub fn read_to_end(mut self, max: u64) -> Result<Bytes, Error> {
+        let mut buf = BytesMut::new();
+        while let Some(chunk) = self.next_chunk()? {
+            if (buf.len() + chunk.len()) as u64 > max {
                 return Err(Error::TooLong(max));
             }
-            whole.extend_from_slice(&piece);
+            buf.extend_from_slice(&chunk);
         }
-        Ok(whole.freeze())
+        Ok(buf.freeze())
     }
 
     /// The next piece of the body, or `None` after a whole one.
-    fn piece(&mut self) -> Result<Option<Bytes>, Error> {
+    fn next_chunk(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
             let frame = self.call.wait(self.body.frame())?;
-            let Some(frame) = frame.transpose().map_err(Error::Lost)? else {
+            let Some(frame) = frame.transpose().map_err(Error::ConnectionLost)? else {
                 return Ok(None);
             };
             if let Ok(data) = frame.into_data() {
@@ -236,14 +236,14 @@
 
 impl io::Read for Response {
     fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
-        while self.unread.is_empty() {
-            match self.piece()? {
-                Some(piece) => self.unread = piece,
+        while self.buffered.is_empty() {
+            match self.next_chunk()? {
+                Some(chunk) => self.buffered = chunk,
                 None => return Ok(0),
             }
         }
-        let len = buf.len().min(self.unread.len());
-        self.unread.copy_to_slice(&mut buf[..len]);
+        let len = buf.len().min(self.buffered.len());
+        self.buffered.copy_to_slice(&mut buf[..len]);
         Ok(len)
     }
 }
--- a/crates/runtime/src/journal/mod.rs
+++ b/crates/runtime/src/journal/mod.rs
@@ -17,7 +17,7 @@
 use pistachiochute_core::journal;
 
 use crate::platform::key_value;
-use crate::{clock, pool, settings};
+use crate::{clock, settings, thread_pool};
 
 pub use wait::{Decision, Permit, Reservation};
 
@@ -67,7 +67,7 @@
     ) -> eyre::Result<Self> {
         let cfg = config(settings);
         let (tx, rx) = channel::bounded(COMMANDS);
-        let pool = pool::Pool::new("journal-store", STORE_THREADS);
+        let pool = thread_pool::Pool::new("journal-store", STORE_THREADS);
         let worker = Worker {
             journal: journal::Journal::new(cfg),
             waiting: HashMap::new(),
@@ -118,7 +118,7 @@
     /// Threads that wait for the decision on their attempt. Bounded by the threads of the owner.
     waiting: HashMap<journal::AttemptId, channel::Sender<Decision>>,
     store: Arc<store::Store>,
-    pool: pool::Pool,
+    pool: thread_pool::Pool,
     tx: channel::Sender<Command>,
 }
 
--- a/crates/runtime/src/listener/mod.rs
+++ b/crates/runtime/src/listener/mod.rs
@@ -26,7 +26,7 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time;
 
-use crate::pool;
+use crate::thread_pool;
 
 /// Smallest bound on the head of a request that the library takes, in bytes. It answers larger
 /// heads itself, without a reason code.
@@ -86,7 +86,7 @@
     pub fn start<S>(
         socket: net::TcpListener,
         cfg: Config,
-        pool: pool::Pool,
+        pool: thread_pool::Pool,
         service: Arc<S>,
     ) -> eyre::Result<Self>
     where
@@ -128,7 +128,7 @@
 /// What all connections of a listener share.
 struct Serving<S> {
     cfg: Config,
-    pool: pool::Pool,
+    pool: thread_pool::Pool,
     service: Arc<S>,
 }
 
--- a/crates/runtime/src/lists/editor.rs
+++ b/crates/runtime/src/lists/editor.rs
@@ -5,7 +5,7 @@
 use pistachiochute_core::name;
 
 use crate::lists::store;
-use crate::{control, unix};
+use crate::{control, wall_clock};
 
 /// Times that a lost edit is looked up and settled.
 const MAX_RESOLVE_ROUNDS: u32 = 4;
@@ -42,7 +42,7 @@
         F: Fn(&lists::Change) -> bool,
     {
         let author = storage::Author::Operator(operator);
-        let mut edit = Edit::new(id, author, unix::now_ms(), proposals, allowed)
+        let mut edit = Edit::new(id, author, wall_clock::now_ms(), proposals, allowed)
             .with_highest_version(self.control.highest_version());
         if let Some(catalog) = self.control.catalog() {
             edit = edit.with_served_targets(catalog);
@@ -85,7 +85,7 @@
     #[must_use]
     pub fn resolve(&self, id: storage::EditId) -> Resolved {
         let fence = storage::EditId(uuid::Uuid::now_v7());
-        let resolve = Resolve::new(id, fence, unix::now_ms());
+        let resolve = Resolve::new(id, fence, wall_clock::now_ms());
         for _ in 0..MAX_RESOLVE_ROUNDS {
             let read = self.store.read_with_history().ok();
             let read = read
--- a/crates/runtime/src/lists/sync.rs
+++ b/crates/runtime/src/lists/sync.rs
@@ -14,7 +14,7 @@
 
 use crate::lists::store;
 use crate::platform::key_value;
-use crate::{control, unix};
+use crate::{control, wall_clock};
 
 /// Orders that may wait for the thread.
 const ORDER_BUFFER: usize = 64;
@@ -223,7 +223,7 @@
         let record = storage::Record {
             edit: storage::EditId(uuid::Uuid::now_v7()),
             author: storage::Author::Fleet,
-            at_ms: unix::now_ms(),
+            at_ms: wall_clock::now_ms(),
             delta: delta.clone(),
         };
         slog::warn!(self.log, "store is behind and gets the lists back"; "was" => ?expected);
--- a/crates/runtime/src/owner/mod.rs
+++ b/crates/runtime/src/owner/mod.rs
@@ -12,7 +12,7 @@
 use pistachiochute_messages::forward;
 use tokio::sync::mpsc;
 
-use crate::{control, endpoint, journal, link, pool};
+use crate::{control, endpoint, journal, link, thread_pool};
 
 /// Time between two looks at whether the caller of queued work is still there.
 const CALLER_CHECK: Duration = Duration::from_millis(100);
@@ -22,7 +22,7 @@
 pub struct Server {
     control: control::Handle,
     journal: journal::Handle,
-    pool: pool::Pool,
+    pool: thread_pool::Pool,
     timeouts: endpoint::Timeouts,
 }
 
@@ -32,7 +32,7 @@
     pub fn new(
         control: control::Handle,
         journal: journal::Handle,
-        pool: pool::Pool,
+        pool: thread_pool::Pool,
         timeouts: endpoint::Timeouts,
     ) -> Arc<Self> {
         Arc::new(Self {
--- a/crates/runtime/src/platform/etcd/watch.rs
+++ b/crates/runtime/src/platform/etcd/watch.rs
@@ -18,7 +18,7 @@
 use crossbeam::channel;
 use pistachiochute_core::revision::Revision;
 
-use crate::client;
+use crate::http_client;
 use crate::platform::key_value::{self, Error, WatchEvent};
 use crate::platform::{etcd, http};
 
@@ -128,7 +128,7 @@
         Ok(())
     }
 
-    fn connect(&self) -> Result<client::Response, Error> {
+    fn connect(&self) -> Result<http_client::Response, Error> {
         let body = etcd::wire::watch(&self.keys, self.next).to_string();
         let cfg = &self.client.cfg;
         let open = |addr| {
--- a/crates/runtime/src/platform/http.rs
+++ b/crates/runtime/src/platform/http.rs
@@ -8,7 +8,7 @@
 use http::{Request, header};
 use http_body_util::Full;
 
-use crate::client;
+use crate::http_client;
 
 /// Bounds of one call.
 #[derive(Clone, Copy, Debug)]
@@ -58,10 +58,10 @@
     body: &[u8],
     connect: Duration,
     idle: Duration,
-) -> Result<client::Response, Failure> {
-    let timeouts = client::Timeouts {
+) -> Result<http_client::Response, Failure> {
+    let timeouts = http_client::Timeouts {
         connect,
-        silence: idle,
+        idle,
         total: None,
     };
     send(json(path, body), addr, timeouts)
@@ -76,12 +76,12 @@
 fn send(
     req: http::Result<Request<Full<Bytes>>>,
     addr: SocketAddr,
-    timeouts: client::Timeouts,
-) -> Result<client::Response, Failure> {
+    timeouts: http_client::Timeouts,
+) -> Result<http_client::Response, Failure> {
     let req = req.map_err(|e| Failure::NotSent(io::Error::other(e)))?;
-    let sent = client::send(addr, req, timeouts, client::Wanted::Always);
+    let sent = http_client::send(addr, req, timeouts, http_client::Cancellation::Never);
     sent.map_err(|e| match e {
-        client::Error::NotSent(e) => Failure::NotSent(e),
+        http_client::Error::NotSent(e) => Failure::NotSent(e),
         e => Failure::Sent(e.to_string()),
     })
 }
@@ -94,15 +94,15 @@
     addr: SocketAddr,
     bounds: Bounds,
 ) -> Result<Answer, Failure> {
-    let timeouts = client::Timeouts {
+    let timeouts = http_client::Timeouts {
         connect: bounds.total,
-        silence: bounds.total,
+        idle: bounds.total,
         total: Some(bounds.total),
     };
     let resp = send(req, addr, timeouts)?;
     let status = resp.head.status.as_u16();
-    let body = resp.whole(bounds.answer).map_err(|e| match e {
-        client::Error::TooLong(_) => Failure::Sent(e.to_string()),
+    let body = resp.read_to_end(bounds.answer).map_err(|e| match e {
+        http_client::Error::TooLong(_) => Failure::Sent(e.to_string()),
         e => Failure::Sent(format!("the answer was cut: {e}")),
     })?;
     Ok(Answer { status, body })
--- a/crates/runtime/src/pool.rs
+++ b/crates/runtime/src/thread_pool.rs
@@ -15,7 +15,7 @@
 const STACK_BYTES: usize = 256 * 1024;
 
 /// Time for which an idle thread is kept.
-const IDLE_KEEP: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 type Job = Box<dyn FnOnce() + Send>;
 
@@ -101,7 +101,7 @@
         let spawned = thread::Builder::new()
             .name(self.shared.name.to_owned())
             .stack_size(STACK_BYTES)
-            .spawn(move || shared.work(job));
+            .spawn(move || shared.run_jobs(job));
         if spawned.is_err() {
             self.shared.threads.fetch_sub(1, Ordering::AcqRel);
         }
@@ -127,13 +127,13 @@
             .is_ok()
     }
 
-    fn work(&self, first: Job) {
-        let _exit = Exit(&self.threads);
+    fn run_jobs(&self, first: Job) {
+        let _guard = ThreadCountGuard(&self.threads);
         let mut job = first;
         loop {
             job();
             self.idle.fetch_add(1, Ordering::AcqRel);
-            job = match self.rx.recv_timeout(IDLE_KEEP) {
+            job = match self.rx.recv_timeout(IDLE_TIMEOUT) {
                 Ok(next) => next,
                 // A thread leaves only if no job was promised to it meanwhile.
                 Err(_) if self.claim_idle() => return,
@@ -147,9 +147,9 @@
 }
 
 /// Takes a thread out of the count also when its job panics.
-struct Exit<'a>(&'a AtomicUsize);
+struct ThreadCountGuard<'a>(&'a AtomicUsize);
 
-impl Drop for Exit<'_> {
+impl Drop for ThreadCountGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
