--- a/crates/runtime/src/control/peers.rs
+++ b/crates/runtime/src/control/peers.rs
@@ -58,7 +58,7 @@
                 | control::Message::Received,
             ) => return,
             Err(e) => {
-                let refused = e == link::CallError::Connect;
+                let refused = e == link::CallError::ConnectFailed;
                 self.membership.handle_probe_failure(now, from, refused)
             }
         };
--- a/crates/runtime/src/host/mod.rs
+++ b/crates/runtime/src/host/mod.rs
@@ -283,6 +283,6 @@
         ping: settings.timeouts.ping,
         stall: link_stall(&settings.timeouts),
         control: settings.timeouts.connect,
-        body_max: settings.bounds.body.0 as usize,
+        max_body_bytes: settings.bounds.body.0 as usize,
     }
 }
--- a/crates/runtime/src/link/client.rs
+++ b/crates/runtime/src/link/client.rs
@@ -19,11 +19,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
     /// No connection could be made, so the call did not leave this host.
-    Connect,
+    ConnectFailed,
     /// The receiver refused the call before reading it.
     Refused,
     /// The connection was lost after the call may have been received.
-    Lost,
+    ConnectionLost,
     /// No reply came for the stall deadline.
     Stalled,
     /// The receiver sent bytes that are not replies.
@@ -35,9 +35,9 @@
     #[must_use]
     pub const fn reason(self) -> reason::Refusal {
         match self {
-            Self::Connect => reason::Refusal::ConnectFailed,
+            Self::ConnectFailed => reason::Refusal::ConnectFailed,
             Self::Refused => reason::Refusal::NotReady,
-            Self::Lost => reason::Refusal::ConnectionLost,
+            Self::ConnectionLost => reason::Refusal::ConnectionLost,
             Self::Stalled => reason::Refusal::Stalled,
             Self::Malformed => reason::Refusal::AnswerIncomplete,
         }
@@ -47,8 +47,8 @@
     #[must_use]
     pub const fn outcome(self) -> outcome::Outcome {
         match self {
-            Self::Connect | Self::Refused => outcome::Outcome::NotRun,
-            Self::Lost | Self::Stalled | Self::Malformed => outcome::Outcome::Unknown,
+            Self::ConnectFailed | Self::Refused => outcome::Outcome::NotRun,
+            Self::ConnectionLost | Self::Stalled | Self::Malformed => outcome::Outcome::Unknown,
         }
     }
 }
@@ -74,7 +74,7 @@
 type Slot = Arc<Mutex<Option<Connection>>>;
 
 /// Connections to other hosts, one for each address.
-pub struct Clients {
+pub struct ConnectionPool {
     cfg: Arc<link::Config>,
     slots: HashMap<net::SocketAddr, Slot>,
 }
@@ -82,7 +82,7 @@
 /// Addresses kept before those without a connection are forgotten.
 const MAX_SLOTS: usize = 1024;
 
-impl Clients {
+impl ConnectionPool {
     pub fn new(cfg: Arc<link::Config>) -> Self {
         Self {
             cfg,
@@ -114,7 +114,12 @@
         });
     }
 
-    pub fn control(&mut self, addr: net::SocketAddr, message: Bytes, done: link::Done) {
+    pub fn control(
+        &mut self,
+        addr: net::SocketAddr,
+        message: Bytes,
+        on_answer: link::AnswerCallback,
+    ) {
         let call = Call {
             cfg: Arc::clone(&self.cfg),
             slot: self.slot(addr),
@@ -123,7 +128,7 @@
         tokio::spawn(async move {
             let span = call.cfg.control;
             let answer = time::timeout(span, call.control(message)).await;
-            done(answer.unwrap_or(Err(CallError::Stalled)));
+            on_answer(answer.unwrap_or(Err(CallError::Stalled)));
         });
     }
 
@@ -150,13 +155,15 @@
         tx: &mpsc::Sender<link::Received>,
     ) -> Result<(), CallError> {
         let (response, mut stream, open) = self.open(link::FORWARD_PATH).await?;
-        stream.send_data(head, false).map_err(|_| CallError::Lost)?;
+        stream
+            .send_data(head, false)
+            .map_err(|_| CallError::ConnectionLost)?;
         send_body(&mut stream, body).await?;
         let response = self.wait(response).await??;
         if !response.status().is_success() {
             return Err(CallError::Refused);
         }
-        open.heard();
+        open.record_received();
         self.receive(response.into_body(), tx, &open).await
     }
 
@@ -167,7 +174,7 @@
         if !response.status().is_success() {
             return Err(CallError::Refused);
         }
-        open.heard();
+        open.record_received();
         let mut body = response.into_body();
         let mut answer = Vec::new();
         while let Some(data) = self.wait_data(&mut body, &open).await? {
@@ -184,7 +191,7 @@
         &self,
         mut body: h2::RecvStream,
         tx: &mpsc::Sender<link::Received>,
-        open: &ping::Open,
+        open: &ping::OpenStream,
     ) -> Result<(), CallError> {
         let mut decoder = codec::Decoder::new();
         while let Some(data) = self.wait_data(&mut body, open).await? {
@@ -197,20 +204,20 @@
             }
         }
         // The stream ended without its last reply.
-        Err(CallError::Lost)
+        Err(CallError::ConnectionLost)
     }
 
     /// Waits for the next bytes; `None` is the end of the stream.
     async fn wait_data(
         &self,
         body: &mut h2::RecvStream,
-        open: &ping::Open,
+        open: &ping::OpenStream,
     ) -> Result<Option<Bytes>, CallError> {
         let Some(data) = self.wait(body.data()).await? else {
             return Ok(None);
         };
-        let data = data.map_err(|_| CallError::Lost)?;
-        open.heard();
+        let data = data.map_err(|_| CallError::ConnectionLost)?;
+        open.record_received();
         let _ = body.flow_control().release_capacity(data.len());
         Ok(Some(data))
     }
@@ -232,24 +239,24 @@
         (
             impl Future<Output = Result<http::Response<h2::RecvStream>, CallError>> + use<>,
             h2::SendStream<Bytes>,
-            ping::Open,
+            ping::OpenStream,
         ),
         CallError,
     > {
         let connection = self.connection().await?;
         let requester = connection.requester.ready().await;
-        let mut requester = requester.map_err(|_| CallError::Connect)?;
+        let mut requester = requester.map_err(|_| CallError::ConnectFailed)?;
         let request = http::Request::builder()
             .method(http::Method::POST)
             .uri(format!("http://{}{path}", self.addr))
             .header(link::SECRET_HEADER, &self.cfg.secret[..])
             .body(())
-            .map_err(|_| CallError::Connect)?;
+            .map_err(|_| CallError::ConnectFailed)?;
         let (response, stream) = requester
             .send_request(request, false)
-            .map_err(|_| CallError::Connect)?;
-        let response = async move { response.await.map_err(lost_or_refused) };
-        Ok((response, stream, connection.monitor.open()))
+            .map_err(|_| CallError::ConnectFailed)?;
+        let response = async move { response.await.map_err(classify_stream_error) };
+        Ok((response, stream, connection.monitor.open_stream()))
     }
 
     async fn connection(&self) -> Result<Connection, CallError> {
@@ -278,16 +285,17 @@
                 .ok()
         };
         let connected = time::timeout(self.cfg.connect, connecting).await;
-        let (requester, mut connection) = connected.ok().flatten().ok_or(CallError::Connect)?;
+        let (requester, mut connection) =
+            connected.ok().flatten().ok_or(CallError::ConnectFailed)?;
         let pings = connection.ping_pong();
         let monitor = ping::Monitor::new(self.cfg.ping, self.cfg.ping);
-        let watch = monitor.clone();
+        let pinger = monitor.clone();
         tokio::spawn(async move {
             let Some(pings) = pings else { return };
             // Dropping the connection ends every stream on it.
             tokio::select! {
                 _ = connection => {}
-                () = watch.watch(pings) => {}
+                () = pinger.run(pings) => {}
             }
         });
         Ok(Connection { requester, monitor })
@@ -295,10 +303,10 @@
 }
 
 /// A stream that the receiver refused by its code was not processed there.
-fn lost_or_refused(e: h2::Error) -> CallError {
+fn classify_stream_error(e: h2::Error) -> CallError {
     match e.reason() {
         Some(h2::Reason::REFUSED_STREAM) if e.is_remote() => CallError::Refused,
-        _ => CallError::Lost,
+        _ => CallError::ConnectionLost,
     }
 }
 
@@ -313,8 +321,8 @@
 async fn send_body(stream: &mut h2::SendStream<Bytes>, body: Bytes) -> Result<(), CallError> {
     link::server::send(stream, body)
         .await
-        .map_err(|_| CallError::Lost)?;
+        .map_err(|_| CallError::ConnectionLost)?;
     stream
         .send_data(Bytes::new(), true)
-        .map_err(|_| CallError::Lost)
+        .map_err(|_| CallError::ConnectionLost)
 }
--- a/crates/runtime/src/link/mod.rs
+++ b/crates/runtime/src/link/mod.rs
@@ -54,7 +54,7 @@
     /// Time without a reply after which a forwarded request has stalled.
     pub stall: Duration,
     /// Largest body of a forwarded request, in bytes.
-    pub body_max: usize,
+    pub max_body_bytes: usize,
 }
 
 impl std::fmt::Debug for Config {
@@ -81,7 +81,7 @@
 
 /// What is done with the answer to a control message. Runs on the link thread, so it only hands
 /// the answer on.
-pub type Done = Box<dyn FnOnce(Result<Bytes, CallError>) + Send>;
+pub type AnswerCallback = Box<dyn FnOnce(Result<Bytes, CallError>) + Send>;
 
 enum Command {
     Forward {
@@ -93,7 +93,7 @@
     Control {
         addr: net::SocketAddr,
         message: Bytes,
-        done: Done,
+        on_answer: AnswerCallback,
     },
     Close,
 }
@@ -132,16 +132,16 @@
         rx
     }
 
-    /// Sends a control message to a host and gives the answer to `done`.
-    pub fn control<F>(&self, addr: net::SocketAddr, message: Bytes, done: F)
+    /// Sends a control message to a host and gives the answer to `on_answer`.
+    pub fn control<F>(&self, addr: net::SocketAddr, message: Bytes, on_answer: F)
     where
         F: FnOnce(Result<Bytes, CallError>) + Send + 'static,
     {
-        let done = Box::new(done);
+        let on_answer = Box::new(on_answer);
         let _ = self.tx.send(Command::Control {
             addr,
             message,
-            done,
+            on_answer,
         });
     }
 }
@@ -206,7 +206,7 @@
     };
     let cfg = Arc::new(cfg);
     tokio::spawn(server::listen(Arc::clone(&cfg), listener, handler));
-    let mut clients = client::Clients::new(cfg);
+    let mut connections = client::ConnectionPool::new(cfg);
     while let Some(command) = rx.recv().await {
         match command {
             Command::Forward {
@@ -214,12 +214,12 @@
                 head,
                 body,
                 tx,
-            } => clients.forward(addr, head, body, tx),
+            } => connections.forward(addr, head, body, tx),
             Command::Control {
                 addr,
                 message,
-                done,
-            } => clients.control(addr, message, done),
+                on_answer,
+            } => connections.control(addr, message, on_answer),
             Command::Close => return,
         }
     }
--- a/crates/runtime/src/link/ping.rs
+++ b/crates/runtime/src/link/ping.rs
@@ -18,14 +18,14 @@
 struct Shared {
     link: Mutex<liveness::Link>,
     /// Wakes the pings when a stream is opened.
-    opened: Notify,
+    stream_opened: Notify,
     /// Time in which a ping must be answered.
-    deadline: Duration,
+    ping_timeout: Duration,
 }
 
 /// A stream that is open on a connection. Counted as closed when it is dropped, because the
 /// future that holds it may be dropped at any point.
-pub struct Open {
+pub struct OpenStream {
     shared: Arc<Shared>,
 }
 
@@ -36,18 +36,18 @@
 }
 
 impl Monitor {
-    /// Makes the monitor of a new connection, which is pinged after `silence` while it is in use.
-    pub fn new(silence: Duration, deadline: Duration) -> Self {
+    /// Makes the monitor of a new connection, which is pinged after `ping_after` while it is in use.
+    pub fn new(ping_after: Duration, ping_timeout: Duration) -> Self {
         let cfg = liveness::LinkConfig {
-            ping_after_ms: silence.as_millis() as u64,
-            ping_deadline_ms: deadline.as_millis() as u64,
+            ping_after_ms: ping_after.as_millis() as u64,
+            ping_deadline_ms: ping_timeout.as_millis() as u64,
             ..liveness::LinkConfig::default()
         };
         let link = Mutex::new(liveness::Link::new(cfg, clock::now()));
         let shared = Shared {
             link,
-            opened: Notify::new(),
-            deadline,
+            stream_opened: Notify::new(),
+            ping_timeout,
         };
         Self {
             shared: Arc::new(shared),
@@ -55,24 +55,24 @@
     }
 
     /// Counts a stream as open.
-    pub fn open(&self) -> Open {
+    pub fn open_stream(&self) -> OpenStream {
         self.shared.link().stream_opened(clock::now());
-        self.shared.opened.notify_one();
-        Open {
+        self.shared.stream_opened.notify_one();
+        OpenStream {
             shared: Arc::clone(&self.shared),
         }
     }
 
     /// Sends pings as the connection needs them. Returns when it must be given up.
-    pub async fn watch(self, mut pings: h2::PingPong) {
+    pub async fn run(self, mut pings: h2::PingPong) {
         loop {
             let check = self.shared.link().check(clock::now());
             match check {
-                liveness::Check::Wait(None) => self.shared.opened.notified().await,
+                liveness::Check::Wait(None) => self.shared.stream_opened.notified().await,
                 liveness::Check::Wait(Some(due)) => time::sleep(due.since(clock::now())).await,
                 liveness::Check::Ping(_) => {
                     let pong = pings.ping(h2::Ping::opaque());
-                    match time::timeout(self.shared.deadline, pong).await {
+                    match time::timeout(self.shared.ping_timeout, pong).await {
                         Ok(Ok(_)) => self.shared.link().record_received(clock::now()),
                         Ok(Err(_)) | Err(_) => return,
                     }
@@ -83,14 +83,14 @@
     }
 }
 
-impl Open {
+impl OpenStream {
     /// Records that something arrived on the stream.
-    pub fn heard(&self) {
+    pub fn record_received(&self) {
         self.shared.link().record_received(clock::now());
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenStream {
     fn drop(&mut self) {
         self.shared.link().stream_closed();
     }
--- a/crates/runtime/src/link/server.rs
+++ b/crates/runtime/src/link/server.rs
@@ -23,7 +23,7 @@
 
 /// Silences after which the serving side pings, in those of the calling side. A stream of replies
 /// brings nothing back to the serving side, so it would ping every connection in use.
-const SERVER_SILENCES: u32 = 5;
+const SERVER_PING_FACTOR: u32 = 5;
 
 /// Serves every connection of the listener.
 pub async fn listen<H>(cfg: Arc<link::Config>, listener: net::TcpListener, handler: Arc<H>)
@@ -56,21 +56,21 @@
     let Some(pings) = connection.ping_pong() else {
         return;
     };
-    let monitor = ping::Monitor::new(cfg.ping * SERVER_SILENCES, cfg.ping);
+    let monitor = ping::Monitor::new(cfg.ping * SERVER_PING_FACTOR, cfg.ping);
     let accepting = async {
         while let Some(Ok((request, respond))) = connection.accept().await {
             let stream = Stream {
                 cfg: Arc::clone(&cfg),
                 request,
                 respond,
-                open: monitor.open(),
+                open: monitor.open_stream(),
             };
             tokio::spawn(stream.run(Arc::clone(&handler)));
         }
     };
     tokio::select! {
         () = accepting => {}
-        () = monitor.clone().watch(pings) => {}
+        () = monitor.clone().run(pings) => {}
     }
 }
 
@@ -79,7 +79,7 @@
     request: http::Request<h2::RecvStream>,
     respond: server::SendResponse<Bytes>,
     /// Counts the stream as open for as long as it is served.
-    open: ping::Open,
+    open: ping::OpenStream,
 }
 
 impl Stream {
@@ -130,7 +130,7 @@
     where
         H: link::Handler,
     {
-        let Some(message) = self.read(codec::MAX_FRAME_LEN).await else {
+        let Some(message) = self.read_body(codec::MAX_FRAME_LEN).await else {
             return self.refuse(http::StatusCode::BAD_REQUEST);
         };
         let (done, answer) = oneshot::channel();
@@ -148,7 +148,9 @@
 
     /// Reads the head and the body of a forwarded request, whose length the head states.
     async fn read_forward(&mut self) -> Option<(forward::Forward, Bytes)> {
-        let bytes = self.read(codec::MAX_FRAME_LEN + self.cfg.body_max).await?;
+        let bytes = self
+            .read_body(codec::MAX_FRAME_LEN + self.cfg.max_body_bytes)
+            .await?;
         let mut decoder = codec::Decoder::new();
         decoder.extend(&bytes);
         let head: forward::Forward = decoder.take().ok()??;
@@ -157,7 +159,7 @@
     }
 
     /// Reads the whole request body, or `None` if it is cut, stalls or exceeds `max` bytes.
-    async fn read(&mut self, max: usize) -> Option<Bytes> {
+    async fn read_body(&mut self, max: usize) -> Option<Bytes> {
         let body = self.request.body_mut();
         let mut buf = bytes::BytesMut::new();
         loop {
@@ -166,7 +168,7 @@
                 return Some(buf.freeze());
             };
             let data = data.ok()?;
-            self.open.heard();
+            self.open.record_received();
             if buf.len() + data.len() > max {
                 return None;
             }
