--- a/crates/runtime/src/admin/mod.rs
+++ b/crates/runtime/src/admin/mod.rs
@@ -14,7 +14,7 @@
 mod reply;
 mod route;
 
-pub use route::MAX_BODY;
+pub use route::MAX_BODY_BYTES;
 
 use std::sync::Arc;
 
--- a/crates/runtime/src/admin/reply.rs
+++ b/crates/runtime/src/admin/reply.rs
@@ -100,6 +100,6 @@
             headers.insert(http::header::RETRY_AFTER, seconds);
         }
         // The operator may be gone, which nobody needs to know.
-        let _ = answer.whole(response);
+        let _ = answer.send(response);
     }
 }
--- a/crates/runtime/src/admin/route.rs
+++ b/crates/runtime/src/admin/route.rs
@@ -11,7 +11,7 @@
 use crate::{listener, settings};
 
 /// Largest body of an operator, in bytes. Both lists of the size to design for take a tenth.
-pub const MAX_BODY: u64 = 1 << 20;
+pub const MAX_BODY_BYTES: u64 = 1 << 20;
 
 /// Answers a request.
 pub fn reply(cx: &Context, req: &listener::Request) -> Reply {
@@ -120,7 +120,7 @@
 
 fn body(req: &listener::Request) -> Result<Bytes, Reply> {
     req.body.clone().map_err(|fault| {
-        let (reason, message) = fault.explain(MAX_BODY);
+        let (reason, message) = fault.refusal(MAX_BODY_BYTES);
         Reply::error(reason, message)
     })
 }
--- a/crates/runtime/src/entry/parse.rs
+++ b/crates/runtime/src/entry/parse.rs
@@ -176,7 +176,7 @@
 fn take_body(req: &mut listener::Request, bounds: &settings::Bounds) -> Result<Bytes, Fault> {
     let body = std::mem::replace(&mut req.body, Ok(Bytes::new()));
     body.map_err(|fault| {
-        let (reason, message) = fault.explain(bounds.body.0);
+        let (reason, message) = fault.refusal(bounds.body.0);
         Fault { reason, message }
     })
 }
--- a/crates/runtime/src/entry/respond.rs
+++ b/crates/runtime/src/entry/respond.rs
@@ -7,7 +7,7 @@
 use pistachiochute_core::{answer, name, outcome, reason, request, retry};
 
 use crate::entry::parse;
-use crate::listener::{Answer, Gone, Stream};
+use crate::listener::{Answer, Disconnected, Stream};
 use crate::{control, endpoint, entry};
 
 /// A refusal, or an error in the place of the rest of an answer.
@@ -96,7 +96,7 @@
     *response.status_mut() = status;
     set(&mut response, header::CONTENT_TYPE.as_str(), "text/plain");
     // The caller may be gone, which nobody needs to know.
-    let _ = answer.whole(response);
+    let _ = answer.send(response);
 }
 
 /// A JSON answer.
@@ -120,7 +120,7 @@
     let mut response = json(StatusCode::OK, body);
     set_outcome(&mut response, request, outcome::Outcome::Run);
     // The caller may be gone, which nobody needs to know.
-    let _ = answer.whole(response);
+    let _ = answer.send(response);
 }
 
 /// Counts and logs a refusal.
@@ -156,7 +156,7 @@
         set(&mut response, header::RETRY_AFTER.as_str(), &seconds);
     }
     // The caller may be gone, which nobody needs to know.
-    let _ = answer.whole(response);
+    let _ = answer.send(response);
 }
 
 /// Answers with a whole answer of an endpoint.
@@ -165,8 +165,8 @@
     request: request::RequestId,
     head: &answer::Head,
     body: Bytes,
-) -> Result<(), Gone> {
-    answer.whole(endpoint_head(request, head).map(|()| body))
+) -> Result<(), Disconnected> {
+    answer.send(endpoint_head(request, head).map(|()| body))
 }
 
 /// Status and headers of an endpoint's answer.
@@ -206,15 +206,15 @@
     answer: Answer,
     request: request::RequestId,
     head: &answer::Head,
-) -> Result<Stream, Gone> {
+) -> Result<Stream, Disconnected> {
     let mut response = endpoint_head(request, head);
     set(&mut response, header::CACHE_CONTROL.as_str(), "no-store");
-    answer.stream(response)
+    answer.start_stream(response)
 }
 
 /// Ends an answer that is not whole: an error event, and then the connection.
 pub fn abort(stream: Stream, refused: &Refused) {
     let event = format!("event: error\ndata: {}\n\n", refused.body());
     // The caller may be gone, which nobody needs to know.
-    let _ = stream.piece(Bytes::from(event));
+    let _ = stream.send_chunk(Bytes::from(event));
 }
--- a/crates/runtime/src/entry/serve.rs
+++ b/crates/runtime/src/entry/serve.rs
@@ -269,7 +269,7 @@
     }
 
     /// Writes a part of the answer.
-    fn deliver(&mut self, delivery: answer::Delivery) -> Result<(), listener::Gone> {
+    fn deliver(&mut self, delivery: answer::Delivery) -> Result<(), listener::Disconnected> {
         let now = clock::now();
         let span = now.since(self.last);
         self.last = now;
@@ -288,7 +288,7 @@
         if delivery.end
             && let State::Streaming(stream) = std::mem::replace(&mut self.state, State::Done)
         {
-            return stream.close();
+            return stream.finish();
         }
         Ok(())
     }
@@ -297,7 +297,7 @@
         &self,
         answer: listener::Answer,
         delivery: &answer::Delivery,
-    ) -> Result<State, listener::Gone> {
+    ) -> Result<State, listener::Disconnected> {
         let head = delivery.head.as_ref().expect("the first part has the head");
         if delivery.end {
             let body = join(&delivery.data);
@@ -323,9 +323,9 @@
     }
 }
 
-fn write_all(stream: &listener::Stream, data: &[Bytes]) -> Result<(), listener::Gone> {
+fn write_all(stream: &listener::Stream, data: &[Bytes]) -> Result<(), listener::Disconnected> {
     data.iter()
-        .try_for_each(|piece| stream.piece(piece.clone()))
+        .try_for_each(|piece| stream.send_chunk(piece.clone()))
 }
 
 fn join(data: &[Bytes]) -> Bytes {
--- a/crates/runtime/src/host/mod.rs
+++ b/crates/runtime/src/host/mod.rs
@@ -241,20 +241,20 @@
 fn caller_config(settings: &settings::Settings) -> listener::Config {
     let bounds = &settings.bounds;
     listener::Config {
-        connections: bounds.connections as usize,
-        busy: entry::busy_answer(),
-        head_bytes: bounds.header.0 as usize + HEAD_SLACK_BYTES,
-        head_read: bounds.header_read,
-        body_bytes: bounds.body.0,
-        body_read: bounds.body_read,
-        stall: settings.timeouts.stall,
+        max_connections: bounds.connections as usize,
+        busy_answer: entry::busy_answer(),
+        max_head_bytes: bounds.header.0 as usize + HEAD_SLACK_BYTES,
+        head_timeout: bounds.header_read,
+        max_body_bytes: bounds.body.0,
+        body_timeout: bounds.body_read,
+        stall_timeout: settings.timeouts.stall,
     }
 }
 
 fn admin_config(settings: &settings::Settings) -> listener::Config {
     listener::Config {
-        connections: ADMIN_CONNECTIONS,
-        body_bytes: admin::MAX_BODY,
+        max_connections: ADMIN_CONNECTIONS,
+        max_body_bytes: admin::MAX_BODY_BYTES,
         ..caller_config(settings)
     }
 }
--- a/crates/runtime/src/listener/answer.rs
+++ b/crates/runtime/src/listener/answer.rs
@@ -8,20 +8,20 @@
 use http_body::Frame;
 use tokio::sync::{mpsc, oneshot};
 
-/// Pieces of a stream that wait to be sent.
-const MAX_WAITING: usize = 4;
+/// Chunks of a stream that wait to be sent.
+const MAX_QUEUED_CHUNKS: usize = 4;
 
 /// The caller has left, or its connection is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Gone;
+pub struct Disconnected;
 
-impl fmt::Display for Gone {
+impl fmt::Display for Disconnected {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the caller is gone")
     }
 }
 
-impl std::error::Error for Gone {}
+impl std::error::Error for Disconnected {}
 
 /// The answer that a caller waits for. A connection whose answer is dropped is closed without one.
 #[derive(Debug)]
@@ -40,40 +40,42 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Gone`] if nobody waits any more.
-    pub fn whole(self, response: http::Response<Bytes>) -> Result<(), Gone> {
-        self.tx.send(response.map(Body::whole)).map_err(|_| Gone)
+    /// Returns [`Disconnected`] if nobody waits any more.
+    pub fn send(self, response: http::Response<Bytes>) -> Result<(), Disconnected> {
+        self.tx
+            .send(response.map(Body::complete))
+            .map_err(|_| Disconnected)
     }
 
     /// Begins an answer that is sent piece by piece.
     ///
     /// # Errors
     ///
-    /// Returns [`Gone`] if nobody waits any more.
-    pub fn stream(self, head: http::Response<()>) -> Result<Stream, Gone> {
-        let (tx, rx) = mpsc::channel(MAX_WAITING);
-        let response = head.map(|()| Body::Pieces {
+    /// Returns [`Disconnected`] if nobody waits any more.
+    pub fn start_stream(self, head: http::Response<()>) -> Result<Stream, Disconnected> {
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_CHUNKS);
+        let response = head.map(|()| Body::Chunks {
             rx,
             is_flushing: false,
         });
-        self.tx.send(response).map_err(|_| Gone)?;
+        self.tx.send(response).map_err(|_| Disconnected)?;
         Ok(Stream { tx })
     }
 }
 
 /// A part of a stream.
 #[derive(Debug)]
-pub(super) enum Piece {
+pub(super) enum Chunk {
     Data(Bytes),
     /// The stream is whole.
     End,
 }
 
-/// An answer that is sent piece by piece. If it is dropped before [`Stream::close`], the caller
+/// An answer that is sent piece by piece. If it is dropped before [`Stream::finish`], the caller
 /// sees that it was cut.
 #[derive(Debug)]
 pub struct Stream {
-    tx: mpsc::Sender<Piece>,
+    tx: mpsc::Sender<Chunk>,
 }
 
 impl Stream {
@@ -81,41 +83,43 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Gone`] if the connection has ended.
-    pub fn piece(&self, data: Bytes) -> Result<(), Gone> {
-        self.tx.blocking_send(Piece::Data(data)).map_err(|_| Gone)
+    /// Returns [`Disconnected`] if the connection has ended.
+    pub fn send_chunk(&self, data: Bytes) -> Result<(), Disconnected> {
+        self.tx
+            .blocking_send(Chunk::Data(data))
+            .map_err(|_| Disconnected)
     }
 
     /// Ends a whole answer.
     ///
     /// # Errors
     ///
-    /// Returns [`Gone`] if the connection has ended.
-    pub fn close(self) -> Result<(), Gone> {
-        self.tx.blocking_send(Piece::End).map_err(|_| Gone)
+    /// Returns [`Disconnected`] if the connection has ended.
+    pub fn finish(self) -> Result<(), Disconnected> {
+        self.tx.blocking_send(Chunk::End).map_err(|_| Disconnected)
     }
 }
 
 /// The stream ends before it is whole, and its connection with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Cut;
+pub(super) struct Truncated;
 
-impl fmt::Display for Cut {
+impl fmt::Display for Truncated {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the answer was cut")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Truncated {}
 
 /// Body of an answer.
 #[derive(Debug)]
 pub(super) enum Body {
     /// A whole body.
-    Whole(Option<Bytes>),
-    /// Pieces as they come.
-    Pieces {
-        rx: mpsc::Receiver<Piece>,
+    Complete(Option<Bytes>),
+    /// Chunks as they come.
+    Chunks {
+        rx: mpsc::Receiver<Chunk>,
         /// Whether the stream is cut and what was sent before is being flushed.
         is_flushing: bool,
     },
@@ -123,47 +127,47 @@
 
 impl Body {
     /// A whole body; an empty one has no frame.
-    fn whole(bytes: Bytes) -> Self {
-        Self::Whole((!bytes.is_empty()).then_some(bytes))
+    fn complete(bytes: Bytes) -> Self {
+        Self::Complete((!bytes.is_empty()).then_some(bytes))
     }
 }
 
 impl http_body::Body for Body {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Truncated;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         let (rx, is_flushing) = match self.get_mut() {
-            Self::Whole(bytes) => return Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Self::Pieces { rx, is_flushing } => (rx, is_flushing),
+            Self::Complete(bytes) => return Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            Self::Chunks { rx, is_flushing } => (rx, is_flushing),
         };
         match rx.poll_recv(cx) {
             Poll::Pending => Poll::Pending,
-            Poll::Ready(Some(Piece::Data(data))) => Poll::Ready(Some(Ok(Frame::data(data)))),
-            Poll::Ready(Some(Piece::End)) => Poll::Ready(None),
+            Poll::Ready(Some(Chunk::Data(data))) => Poll::Ready(Some(Ok(Frame::data(data)))),
+            Poll::Ready(Some(Chunk::End)) => Poll::Ready(None),
             // The library drops what it has not sent yet once a body fails, so it gets one turn
             // to send the last piece, which may say why the stream is cut.
             Poll::Ready(None) if !std::mem::replace(is_flushing, true) => {
                 cx.waker().wake_by_ref();
                 Poll::Pending
             }
-            Poll::Ready(None) => Poll::Ready(Some(Err(Cut))),
+            Poll::Ready(None) => Poll::Ready(Some(Err(Truncated))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Complete(None))
     }
 
     fn size_hint(&self) -> http_body::SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) => {
                 http_body::SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
-            Self::Pieces { .. } => http_body::SizeHint::default(),
+            Self::Chunks { .. } => http_body::SizeHint::default(),
         }
     }
 }
--- a/crates/runtime/src/listener/mod.rs
+++ b/crates/runtime/src/listener/mod.rs
@@ -7,8 +7,8 @@
 mod answer;
 mod request;
 
-pub use answer::{Answer, Gone, Stream};
-pub use request::{BodyFault, Request};
+pub use answer::{Answer, Disconnected, Stream};
+pub use request::{BodyError, Request};
 
 use std::net;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -30,7 +30,7 @@
 
 /// Smallest bound on the head of a request that the library takes, in bytes. It answers larger
 /// heads itself, without a reason code.
-const LEAST_HEAD_BYTES: usize = 8 << 10;
+const MIN_HEAD_BYTES: usize = 8 << 10;
 
 /// Time in which a connection that is one too many gets its answer.
 const REFUSE_TIMEOUT: Duration = Duration::from_millis(200);
@@ -54,19 +54,19 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Connections at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Answer to a connection beyond them.
-    pub busy: Bytes,
+    pub busy_answer: Bytes,
     /// Longest head of a request, in bytes, up to which the service is asked.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Time in which the head of a request must arrive, and longest time between two requests.
-    pub head_read: Duration,
+    pub head_timeout: Duration,
     /// Longest body, in bytes.
-    pub body_bytes: u64,
+    pub max_body_bytes: u64,
     /// Time in which a body must arrive.
-    pub body_read: Duration,
+    pub body_timeout: Duration,
     /// Longest time that a connection takes no bytes of an answer.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
 }
 
 /// A listener.
@@ -99,10 +99,10 @@
             .build()
             .wrap_err_with(|| format!("cannot serve {addr}"))?;
         let (closing, closed) = watch::channel(false);
-        let serving = Arc::new(Serving { cfg, pool, service });
+        let shared = Arc::new(Shared { cfg, pool, service });
         let thread = thread::Builder::new()
             .name("listener".to_owned())
-            .spawn(move || executor.block_on(accept(socket, serving, closed)))?;
+            .spawn(move || executor.block_on(accept(socket, shared, closed)))?;
         Ok(Self {
             addr,
             closing,
@@ -126,7 +126,7 @@
 }
 
 /// What all connections of a listener share.
-struct Serving<S> {
+struct Shared<S> {
     cfg: Config,
     pool: thread_pool::Pool,
     service: Arc<S>,
@@ -134,7 +134,7 @@
 
 async fn accept<S>(
     socket: net::TcpListener,
-    serving: Arc<Serving<S>>,
+    shared: Arc<Shared<S>>,
     mut closed: watch::Receiver<bool>,
 ) where
     S: Service,
@@ -142,8 +142,8 @@
     let Ok(listener) = tokio::net::TcpListener::from_std(socket) else {
         return;
     };
-    let connections = serving.cfg.connections;
-    let places = Arc::new(Semaphore::new(connections));
+    let max_connections = shared.cfg.max_connections;
+    let permits = Arc::new(Semaphore::new(max_connections));
     loop {
         let accepted = tokio::select! {
             _ = closed.changed() => break,
@@ -153,27 +153,27 @@
             time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        match Arc::clone(&places).try_acquire_owned() {
-            Ok(place) => {
-                let serving = Arc::clone(&serving);
+        match Arc::clone(&permits).try_acquire_owned() {
+            Ok(permit) => {
+                let shared = Arc::clone(&shared);
                 let closed = closed.clone();
                 tokio::spawn(async move {
-                    serving.connection(stream, closed).await;
-                    drop(place);
+                    shared.connection(stream, closed).await;
+                    drop(permit);
                 });
             }
-            Err(_) => drop(tokio::spawn(refuse(stream, serving.cfg.busy.clone()))),
+            Err(_) => drop(tokio::spawn(refuse(stream, shared.cfg.busy_answer.clone()))),
         }
     }
     drop(listener);
-    let all = u32::try_from(connections).unwrap_or(u32::MAX);
-    let _ = time::timeout(CLOSE_TIMEOUT, places.acquire_many(all)).await;
+    let all = u32::try_from(max_connections).unwrap_or(u32::MAX);
+    let _ = time::timeout(CLOSE_TIMEOUT, permits.acquire_many(all)).await;
 }
 
 /// Answers a connection that is one too many.
-async fn refuse(mut stream: tokio::net::TcpStream, busy: Bytes) {
+async fn refuse(mut stream: tokio::net::TcpStream, busy_answer: Bytes) {
     let answering = async {
-        stream.write_all(&busy).await?;
+        stream.write_all(&busy_answer).await?;
         stream.shutdown().await?;
         let mut buf = [0; 1024];
         while stream.read(&mut buf).await? > 0 {}
@@ -183,7 +183,7 @@
     let _ = time::timeout(REFUSE_TIMEOUT, answering).await;
 }
 
-impl<S> Serving<S>
+impl<S> Shared<S>
 where
     S: Service,
 {
@@ -198,13 +198,13 @@
             return;
         }
         let service = service_fn(|req| {
-            let serving = Arc::clone(&self);
-            async move { serving.answer(req).await }
+            let shared = Arc::clone(&self);
+            async move { shared.answer(req).await }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(self.cfg.head_read)
-            .max_buf_size(self.cfg.head_bytes.max(LEAST_HEAD_BYTES))
+            .header_read_timeout(self.cfg.head_timeout)
+            .max_buf_size(self.cfg.max_head_bytes.max(MIN_HEAD_BYTES))
             // A caller that has ended its side may still wait for its answer.
             .half_close(true)
             .serve_connection(TokioIo::new(stream), service);
@@ -212,7 +212,7 @@
         // The caller sees what went wrong on its connection.
         tokio::select! {
             _ = connection.as_mut() => {}
-            () = closing(&mut closed) => {
+            () = wait_closed(&mut closed) => {
                 connection.as_mut().graceful_shutdown();
                 let _ = connection.await;
             }
@@ -221,7 +221,7 @@
 
     fn set_options(&self, stream: &tokio::net::TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
-        let stall = u32::try_from(self.cfg.stall.as_millis()).unwrap_or(u32::MAX);
+        let stall = u32::try_from(self.cfg.stall_timeout.as_millis()).unwrap_or(u32::MAX);
         Ok(sockopt::set_tcp_user_timeout(stream, stall)?)
     }
 
@@ -229,15 +229,15 @@
     async fn answer(
         &self,
         req: http::Request<Incoming>,
-    ) -> Result<http::Response<answer::Body>, Gone> {
-        let bounds = request::Bounds {
-            bytes: self.cfg.body_bytes,
-            time: self.cfg.body_read,
+    ) -> Result<http::Response<answer::Body>, Disconnected> {
+        let limits = request::BodyLimits {
+            max_bytes: self.cfg.max_body_bytes,
+            timeout: self.cfg.body_timeout,
         };
-        let req = Request::read(req, bounds).await;
+        let req = Request::read(req, limits).await;
         let (answer, answered) = Answer::new();
         self.dispatch(req, answer);
-        answered.await.map_err(|_| Gone)
+        answered.await.map_err(|_| Disconnected)
     }
 
     fn dispatch(&self, req: Request, answer: Answer) {
@@ -259,7 +259,7 @@
 }
 
 /// Waits until the listener is closed.
-async fn closing(closed: &mut watch::Receiver<bool>) {
+async fn wait_closed(closed: &mut watch::Receiver<bool>) {
     // A listener that is gone is closed as well.
     drop(closed.wait_for(|closed| *closed).await);
 }
--- a/crates/runtime/src/listener/request.rs
+++ b/crates/runtime/src/listener/request.rs
@@ -14,11 +14,11 @@
 
 /// Bounds on the body of a request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Bounds {
+pub(super) struct BodyLimits {
     /// Longest body, in bytes.
-    pub bytes: u64,
+    pub max_bytes: u64,
     /// Time in which it must arrive.
-    pub time: Duration,
+    pub timeout: Duration,
 }
 
 /// A request that was read.
@@ -27,17 +27,17 @@
     /// Method, target and headers.
     pub head: http::request::Parts,
     /// The whole body, or why there is none.
-    pub body: Result<Bytes, BodyFault>,
+    pub body: Result<Bytes, BodyError>,
 }
 
 impl Request {
     /// Reads a request whole.
-    pub(super) async fn read(req: http::Request<Incoming>, bounds: Bounds) -> Self {
+    pub(super) async fn read(req: http::Request<Incoming>, limits: BodyLimits) -> Self {
         let (head, mut body) = req.into_parts();
-        let reading = time::timeout(bounds.time, read_body(&mut body, bounds.bytes)).await;
+        let reading = time::timeout(limits.timeout, read_body(&mut body, limits.max_bytes)).await;
         let whole = reading.unwrap_or_else(|_| {
             let message = "the body did not arrive in time";
-            Err(BodyFault::Truncated(message.to_owned()))
+            Err(BodyError::Truncated(message.to_owned()))
         });
         if whole.is_err() {
             discard(body);
@@ -67,17 +67,17 @@
 
 /// Why a request has no whole body.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BodyFault {
+pub enum BodyError {
     /// It is longer than the bound.
     TooLarge,
     /// It ended early or did not arrive in time.
     Truncated(String),
 }
 
-impl BodyFault {
+impl BodyError {
     /// Reason code and message for whoever sent a body that may have `max` bytes.
     #[must_use]
-    pub fn explain(self, max: u64) -> (reason::Refusal, String) {
+    pub fn refusal(self, max: u64) -> (reason::Refusal, String) {
         match self {
             Self::TooLarge => {
                 let message = format!("the body exceeds {max} bytes");
@@ -89,15 +89,15 @@
 }
 
 /// Reads a body within its bound.
-async fn read_body(body: &mut Incoming, max: u64) -> Result<Bytes, BodyFault> {
+async fn read_body(body: &mut Incoming, max: u64) -> Result<Bytes, BodyError> {
     if body.size_hint().lower() > max {
-        return Err(BodyFault::TooLarge);
+        return Err(BodyError::TooLarge);
     }
     let max = usize::try_from(max).unwrap_or(usize::MAX);
     match Limited::new(body, max).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
-        Err(e) if e.is::<LengthLimitError>() => Err(BodyFault::TooLarge),
-        Err(e) => Err(BodyFault::Truncated(e.to_string())),
+        Err(e) if e.is::<LengthLimitError>() => Err(BodyError::TooLarge),
+        Err(e) => Err(BodyError::Truncated(e.to_string())),
     }
 }
 
