--- a/crates/gateway/src/adapter.rs
+++ b/crates/gateway/src/adapter.rs
@@ -146,7 +146,7 @@
         &self,
         prefix: &str,
         consistency: Consistency,
-    ) -> impl Future<Output = Result<key_value::Found, key_value::Error>>;
+    ) -> impl Future<Output = Result<key_value::RangeResult, key_value::Error>>;
 
     /// Waits up to `wait` for changes after a revision to keys that start with `prefix`.
     fn watch(
--- a/crates/gateway/src/control/sync.rs
+++ b/crates/gateway/src/control/sync.rs
@@ -264,7 +264,7 @@
     }
 }
 
-fn replace_endpoints<D, S>(cx: &Context<D, S>, found: key_value::Found)
+fn replace_endpoints<D, S>(cx: &Context<D, S>, found: key_value::RangeResult)
 where
     D: adapter::Dialect,
     S: adapter::Store,
--- a/crates/runtime/src/journal/store.rs
+++ b/crates/runtime/src/journal/store.rs
@@ -99,7 +99,7 @@
                 call,
                 revision: journal::ModRevision(committed.revision.0),
             },
-            Ok(committed) => match committed.found.first().and_then(stored) {
+            Ok(committed) => match committed.ranges.first().and_then(stored) {
                 Some(stored) => journal::Event::Conflict { call, stored },
                 None => journal::Event::SwapUnknown(call),
             },
@@ -136,7 +136,7 @@
 }
 
 /// Content of the one shard that was read, or `None` if its value is not a shard.
-fn stored(found: &key_value::Found) -> Option<journal::StoredShard> {
+fn stored(found: &key_value::RangeResult) -> Option<journal::StoredShard> {
     let Some(entry) = found.entries.first() else {
         return Some(journal::StoredShard::default());
     };
--- a/crates/runtime/src/lists/store.rs
+++ b/crates/runtime/src/lists/store.rs
@@ -97,7 +97,7 @@
             ..key_value::Txn::default()
         };
         let committed = self.kv.txn(&txn)?;
-        let [lists, history] = &committed.found[..] else {
+        let [lists, history] = &committed.ranges[..] else {
             return Err(key_value::Error::unknown("the answer holds no two reads").into());
         };
         Ok((read_lists(lists)?, read_history(history)?))
@@ -168,7 +168,7 @@
     }
 }
 
-fn read_lists(found: &key_value::Found) -> Result<Read, Error> {
+fn read_lists(found: &key_value::RangeResult) -> Result<Read, Error> {
     let head = found
         .entries
         .iter()
@@ -186,7 +186,7 @@
     })
 }
 
-fn read_history(found: &key_value::Found) -> Result<Vec<storage::Record>, Error> {
+fn read_history(found: &key_value::RangeResult) -> Result<Vec<storage::Record>, Error> {
     let read = |entry: &key_value::Entry| storage::read_record(&entry.key, &entry.value);
     Ok(found.entries.iter().map(read).collect::<Result<_, _>>()?)
 }
--- a/crates/runtime/src/platform/etcd/mod.rs
+++ b/crates/runtime/src/platform/etcd/mod.rs
@@ -74,26 +74,26 @@
         T: serde::de::DeserializeOwned,
     {
         let body = body.to_string();
-        let bounds = http::Bounds {
-            total: self.cfg.call_timeout,
-            answer: MAX_ANSWER_BYTES,
+        let limits = http::Limits {
+            timeout: self.cfg.call_timeout,
+            max_bytes: MAX_ANSWER_BYTES,
         };
-        let answer = self.send(|addr| http::post(addr, path, body.as_bytes(), bounds))?;
+        let answer = self.send(|addr| http::post(addr, path, body.as_bytes(), limits))?;
         if answer.status == 200 {
             return wire::parse(&answer.body);
         }
-        Err(wire::refusal(answer.status, &answer.body))
+        Err(wire::status_error(answer.status, &answer.body))
     }
 }
 
 impl key_value::KeyValue for Etcd {
-    fn range(&self, keys: &key_value::Keys) -> Result<key_value::Found, key_value::Error> {
-        let answer: wire::RangeAnswer = self.call("/v3/kv/range", &wire::keys(keys))?;
+    fn range(&self, keys: &key_value::Keys) -> Result<key_value::RangeResult, key_value::Error> {
+        let answer: wire::RangeAnswer = self.call("/v3/kv/range", &wire::key_range(keys))?;
         answer.try_into()
     }
 
-    fn txn(&self, txn: &key_value::Txn) -> Result<key_value::Committed, key_value::Error> {
-        let answer: wire::TxnAnswer = self.call("/v3/kv/txn", &wire::txn(txn))?;
+    fn txn(&self, txn: &key_value::Txn) -> Result<key_value::TxnResult, key_value::Error> {
+        let answer: wire::TxnAnswer = self.call("/v3/kv/txn", &wire::txn_request(txn))?;
         answer.try_into()
     }
 
@@ -105,13 +105,13 @@
 
     fn keep_alive(&self, lease: key_value::LeaseId) -> Result<Option<Duration>, key_value::Error> {
         let answer: wire::KeepAliveAnswer =
-            self.call("/v3/lease/keepalive", &wire::lease(lease))?;
+            self.call("/v3/lease/keepalive", &wire::lease_request(lease))?;
         Ok(answer.result.remaining())
     }
 
     fn revoke(&self, lease: key_value::LeaseId) -> Result<(), key_value::Error> {
         let answer: Result<serde_json::Value, _> =
-            self.call("/v3/lease/revoke", &wire::lease(lease));
+            self.call("/v3/lease/revoke", &wire::lease_request(lease));
         answer.map(drop)
     }
 
--- a/crates/runtime/src/platform/etcd/watch.rs
+++ b/crates/runtime/src/platform/etcd/watch.rs
@@ -23,13 +23,13 @@
 use crate::platform::{etcd, http};
 
 /// Messages that wait to be taken; the thread stops reading beyond them.
-const MAX_WAITING: usize = 256;
+const MAX_QUEUED_EVENTS: usize = 256;
 
 /// Longest message, in bytes.
 const MAX_MESSAGE_BYTES: u64 = 64 << 20;
 
 /// Longest sleep between two looks at whether the watch is closed.
-const CLOSE_PAUSE: Duration = Duration::from_millis(50);
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Starts a watch of `keys` from revision `from` on.
 pub(super) fn start(
@@ -37,44 +37,44 @@
     keys: key_value::Keys,
     from: Revision,
 ) -> eyre::Result<key_value::Watch> {
-    let (tx, events) = channel::bounded(MAX_WAITING);
+    let (tx, events) = channel::bounded(MAX_QUEUED_EVENTS);
     let closed = Arc::new(AtomicBool::new(false));
     // Revision 0 of the API means the present, which a watch that connects again would miss.
-    let next = Revision(from.0.max(1));
-    let run = Run {
+    let next_revision = Revision(from.0.max(1));
+    let watcher = Watcher {
         client,
         keys,
-        next,
+        next_revision,
         tx,
         closed: Arc::clone(&closed),
     };
     thread::Builder::new()
         .name("key-value-watch".to_owned())
-        .spawn(move || run.run())?;
+        .spawn(move || watcher.run())?;
     Ok(key_value::Watch::new(events, closed))
 }
 
 /// State of the thread of a watch.
-struct Run {
+struct Watcher {
     client: etcd::Etcd,
     keys: key_value::Keys,
     /// First revision that has not been delivered.
-    next: Revision,
+    next_revision: Revision,
     tx: channel::Sender<WatchEvent>,
     closed: Arc<AtomicBool>,
 }
 
-impl Run {
+impl Watcher {
     fn run(mut self) {
         while !self.is_closed() {
-            let lost = match self.read() {
+            let lost = match self.read_connection() {
                 Ok(()) => return,
                 Err(err) => err,
             };
             if !self.deliver(WatchEvent::Lost(lost)) {
                 return;
             }
-            self.pause();
+            self.wait_before_retry();
         }
     }
 
@@ -82,11 +82,11 @@
         self.closed.load(Ordering::Relaxed)
     }
 
-    fn pause(&self) {
+    fn wait_before_retry(&self) {
         let end = Instant::now() + self.client.cfg.watch_retry;
         while !self.is_closed() && Instant::now() < end {
             let left = end.saturating_duration_since(Instant::now());
-            thread::sleep(left.min(CLOSE_PAUSE));
+            thread::sleep(left.min(CLOSE_POLL_INTERVAL));
         }
     }
 
@@ -94,7 +94,7 @@
     fn deliver(&self, event: WatchEvent) -> bool {
         let mut event = event;
         while !self.is_closed() {
-            match self.tx.send_timeout(event, CLOSE_PAUSE) {
+            match self.tx.send_timeout(event, CLOSE_POLL_INTERVAL) {
                 Ok(()) => return true,
                 Err(channel::SendTimeoutError::Disconnected(_)) => return false,
                 Err(channel::SendTimeoutError::Timeout(back)) => event = back,
@@ -104,7 +104,7 @@
     }
 
     /// Reads one connection. `Ok` means that the watch is closed.
-    fn read(&mut self) -> Result<(), Error> {
+    fn read_connection(&mut self) -> Result<(), Error> {
         let mut reader = BufReader::new(self.connect()?);
         let mut line = Vec::new();
         while !self.is_closed() {
@@ -121,7 +121,7 @@
                 });
             }
             let message: etcd::wire::WatchMessage = etcd::wire::parse(&line)?;
-            if !self.take(message.result)? {
+            if !self.handle(message.result)? {
                 return Ok(());
             }
         }
@@ -129,10 +129,10 @@
     }
 
     fn connect(&self) -> Result<http_client::Response, Error> {
-        let body = etcd::wire::watch(&self.keys, self.next).to_string();
+        let body = etcd::wire::watch_request(&self.keys, self.next_revision).to_string();
         let cfg = &self.client.cfg;
         let open = |addr| {
-            http::open(
+            http::post_stream(
                 addr,
                 "/v3/watch",
                 body.as_bytes(),
@@ -143,16 +143,16 @@
         let resp = self.client.send(open)?;
         match resp.head.status.as_u16() {
             200 => Ok(resp),
-            status => Err(etcd::wire::refusal(status, b"")),
+            status => Err(etcd::wire::status_error(status, b"")),
         }
     }
 
     /// Takes one message. Returns false if nobody takes events any more.
-    fn take(&mut self, message: etcd::wire::WatchResult) -> Result<bool, Error> {
+    fn handle(&mut self, message: etcd::wire::WatchResult) -> Result<bool, Error> {
         let revision = message.header.revision()?;
-        let rewound = revision.0 + 1 < self.next.0;
+        let rewound = revision.0 + 1 < self.next_revision.0;
         if message.canceled || rewound {
-            self.next = Revision(revision.0 + 1);
+            self.next_revision = Revision(revision.0 + 1);
             if !self.deliver(WatchEvent::Reset { revision }) {
                 return Ok(false);
             }
@@ -165,12 +165,12 @@
         }
         let changes = message.changes()?;
         let Some(last) = changes.last() else {
-            self.next = Revision(revision.0 + 1);
+            self.next_revision = Revision(revision.0 + 1);
             return Ok(self.deliver(WatchEvent::Progress(revision)));
         };
         // The header may be ahead of the changes while the watch catches up.
         let revision = last.revision();
-        self.next = Revision(revision.0 + 1);
+        self.next_revision = Revision(revision.0 + 1);
         Ok(self.deliver(WatchEvent::Changes { revision, changes }))
     }
 }
--- a/crates/runtime/src/platform/etcd/wire.rs
+++ b/crates/runtime/src/platform/etcd/wire.rs
@@ -23,7 +23,7 @@
         .map_err(|err| malformed(&err))
 }
 
-fn number(text: &str) -> Result<u64, Error> {
+fn parse_u64(text: &str) -> Result<u64, Error> {
     if text.is_empty() {
         Ok(0)
     } else {
@@ -31,8 +31,8 @@
     }
 }
 
-fn revision(text: &str) -> Result<Revision, Error> {
-    number(text).map(Revision)
+fn parse_revision(text: &str) -> Result<Revision, Error> {
+    parse_u64(text).map(Revision)
 }
 
 /// An answer that cannot be read proves nothing about the effect of its call.
@@ -55,7 +55,7 @@
 
 #[derive(Debug, Default, serde::Deserialize)]
 #[serde(default)]
-struct Refusal {
+struct ErrorBody {
     message: String,
 }
 
@@ -63,16 +63,16 @@
 ///
 /// A status of 400 to 499 says that the call was not carried out. A server error may follow a
 /// proposal that still takes effect, for instance when the leader changes.
-pub(super) fn refusal(status: u16, body: &[u8]) -> Error {
-    let refusal: Refusal = serde_json::from_slice(body).unwrap_or_default();
+pub(super) fn status_error(status: u16, body: &[u8]) -> Error {
+    let body: ErrorBody = serde_json::from_slice(body).unwrap_or_default();
     if (400..500).contains(&status) {
         return Error::Refused {
             status,
-            message: refusal.message,
+            message: body.message,
         };
     }
     Error::Unknown {
-        reason: format!("status {status}: {}", refusal.message),
+        reason: format!("status {status}: {}", body.message),
     }
 }
 
@@ -89,7 +89,7 @@
     Bytes::from_static(&[0])
 }
 
-pub(super) fn keys(keys: &key_value::Keys) -> Value {
+pub(super) fn key_range(keys: &key_value::Keys) -> Value {
     match keys {
         key_value::Keys::One(key) => json!({ "key": encode(key) }),
         key_value::Keys::Prefix(prefix) if prefix.is_empty() => {
@@ -101,18 +101,18 @@
     }
 }
 
-pub(super) fn lease(lease: key_value::LeaseId) -> Value {
+pub(super) fn lease_request(lease: key_value::LeaseId) -> Value {
     json!({ "ID": lease.0.to_string() })
 }
 
-pub(super) fn watch(range: &key_value::Keys, from: Revision) -> Value {
-    let mut create = keys(range);
+pub(super) fn watch_request(range: &key_value::Keys, from: Revision) -> Value {
+    let mut create = key_range(range);
     create["start_revision"] = json!(from.0.to_string());
     create["progress_notify"] = json!(true);
     json!({ "create_request": create })
 }
 
-fn compare(compare: &key_value::Compare) -> Value {
+fn compare_json(compare: &key_value::Compare) -> Value {
     let (target, field, key, at) = match compare {
         key_value::Compare::Created(key, at) => ("CREATE", "create_revision", key, at),
         key_value::Compare::Modified(key, at) => ("MOD", "mod_revision", key, at),
@@ -120,10 +120,10 @@
     json!({ "result": "EQUAL", "target": target, "key": encode(key), field: at.0.to_string() })
 }
 
-fn op(op: &key_value::Op) -> Value {
+fn op_json(op: &key_value::Op) -> Value {
     match op {
-        key_value::Op::Range(range) => json!({ "request_range": keys(range) }),
-        key_value::Op::Delete(range) => json!({ "request_delete_range": keys(range) }),
+        key_value::Op::Range(range) => json!({ "request_range": key_range(range) }),
+        key_value::Op::Delete(range) => json!({ "request_delete_range": key_range(range) }),
         key_value::Op::Put { key, value, lease } => {
             let lease = lease.map_or(0, |lease| lease.0).to_string();
             json!({ "request_put": { "key": encode(key), "value": encode(value), "lease": lease } })
@@ -131,10 +131,10 @@
     }
 }
 
-pub(super) fn txn(txn: &key_value::Txn) -> Value {
-    let ops = |ops: &[key_value::Op]| ops.iter().map(op).collect::<Vec<_>>();
+pub(super) fn txn_request(txn: &key_value::Txn) -> Value {
+    let ops = |ops: &[key_value::Op]| ops.iter().map(op_json).collect::<Vec<_>>();
     json!({
-        "compare": txn.compares.iter().map(compare).collect::<Vec<_>>(),
+        "compare": txn.compares.iter().map(compare_json).collect::<Vec<_>>(),
         "success": ops(&txn.success),
         "failure": ops(&txn.failure),
     })
@@ -148,7 +148,7 @@
 
 impl Header {
     pub(super) fn revision(&self) -> Result<Revision, Error> {
-        revision(&self.revision)
+        parse_revision(&self.revision)
     }
 }
 
@@ -174,9 +174,9 @@
         Ok(Self {
             key: decode(&entry.key)?,
             value: decode(&entry.value)?,
-            created: revision(&entry.create_revision)?,
-            modified: revision(&entry.mod_revision)?,
-            version: number(&entry.version)?,
+            created: parse_revision(&entry.create_revision)?,
+            modified: parse_revision(&entry.mod_revision)?,
+            version: parse_u64(&entry.version)?,
             lease,
         })
     }
@@ -190,7 +190,7 @@
     kvs: Vec<Entry>,
 }
 
-impl TryFrom<RangeAnswer> for key_value::Found {
+impl TryFrom<RangeAnswer> for key_value::RangeResult {
     type Error = Error;
 
     fn try_from(answer: RangeAnswer) -> Result<Self, Error> {
@@ -220,23 +220,26 @@
     responses: Vec<OpAnswer>,
 }
 
-impl TryFrom<TxnAnswer> for key_value::Committed {
+impl TryFrom<TxnAnswer> for key_value::TxnResult {
     type Error = Error;
 
     fn try_from(answer: TxnAnswer) -> Result<Self, Error> {
         let revision = answer.header.revision()?;
-        let ranges = answer
+        let answers = answer
             .responses
             .into_iter()
             .filter_map(|op| op.response_range);
-        let found: Result<Vec<key_value::Found>, _> = ranges.map(TryInto::try_into).collect();
+        let ranges: Result<Vec<key_value::RangeResult>, _> =
+            answers.map(TryInto::try_into).collect();
         // Answers inside a transaction need not repeat its header.
-        let mut found = found?;
-        found.iter_mut().for_each(|found| found.revision = revision);
+        let mut ranges = ranges?;
+        ranges
+            .iter_mut()
+            .for_each(|range| range.revision = revision);
         Ok(Self {
             revision,
             succeeded: answer.succeeded,
-            found,
+            ranges,
         })
     }
 }
--- a/crates/runtime/src/platform/host_list.rs
+++ b/crates/runtime/src/platform/host_list.rs
@@ -60,11 +60,11 @@
     ///
     /// The platform cannot be reached, or its answer is cut, larger than 4 MiB or malformed.
     pub fn read(&self) -> Result<topology::HostList, Error> {
-        let bounds = http::Bounds {
-            total: self.timeout,
-            answer: MAX_LIST_BYTES,
+        let limits = http::Limits {
+            timeout: self.timeout,
+            max_bytes: MAX_LIST_BYTES,
         };
-        let answer = http::get(self.addr, "/hosts", bounds).map_err(|failure| match failure {
+        let answer = http::get(self.addr, "/hosts", limits).map_err(|failure| match failure {
             http::Failure::NotSent(err) => Error::Unreachable {
                 reason: err.to_string(),
             },
--- a/crates/runtime/src/platform/http.rs
+++ b/crates/runtime/src/platform/http.rs
@@ -10,13 +10,13 @@
 
 use crate::http_client;
 
-/// Bounds of one call.
+/// Limits of one call.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Bounds {
+pub(super) struct Limits {
     /// Longest time until the answer is whole.
-    pub(super) total: Duration,
+    pub(super) timeout: Duration,
     /// Longest answer, in bytes.
-    pub(super) answer: u64,
+    pub(super) max_bytes: u64,
 }
 
 /// Why a call has no whole answer.
@@ -36,9 +36,9 @@
 }
 
 /// Sends a `GET`.
-pub(super) fn get(addr: SocketAddr, path: &str, bounds: Bounds) -> Result<Answer, Failure> {
+pub(super) fn get(addr: SocketAddr, path: &str, limits: Limits) -> Result<Answer, Failure> {
     let req = Request::get(path).body(Full::default());
-    whole(req, addr, bounds)
+    read_all(req, addr, limits)
 }
 
 /// Sends a `POST` with a JSON body.
@@ -46,13 +46,13 @@
     addr: SocketAddr,
     path: &str,
     body: &[u8],
-    bounds: Bounds,
+    limits: Limits,
 ) -> Result<Answer, Failure> {
-    whole(json(path, body), addr, bounds)
+    read_all(json(path, body), addr, limits)
 }
 
 /// Sends a `POST` whose answer is a stream that may be silent for `idle` at most.
-pub(super) fn open(
+pub(super) fn post_stream(
     addr: SocketAddr,
     path: &str,
     body: &[u8],
@@ -89,19 +89,19 @@
 /// Sends a request and reads its answer to the end. The client checks the declared length of a
 /// body and the last chunk of a chunked one. All answers of the platform are JSON objects, and no
 /// beginning of a JSON object is one itself, so parsing them detects the remaining cuts.
-fn whole(
+fn read_all(
     req: http::Result<Request<Full<Bytes>>>,
     addr: SocketAddr,
-    bounds: Bounds,
+    limits: Limits,
 ) -> Result<Answer, Failure> {
     let timeouts = http_client::Timeouts {
-        connect: bounds.total,
-        idle: bounds.total,
-        total: Some(bounds.total),
+        connect: limits.timeout,
+        idle: limits.timeout,
+        total: Some(limits.timeout),
     };
     let resp = send(req, addr, timeouts)?;
     let status = resp.head.status.as_u16();
-    let body = resp.read_to_end(bounds.answer).map_err(|e| match e {
+    let body = resp.read_to_end(limits.max_bytes).map_err(|e| match e {
         http_client::Error::TooLong(_) => Failure::Sent(e.to_string()),
         e => Failure::Sent(format!("the answer was cut: {e}")),
     })?;
--- a/crates/runtime/src/platform/key_value.rs
+++ b/crates/runtime/src/platform/key_value.rs
@@ -119,7 +119,7 @@
 
 /// Entries that a read found.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Found {
+pub struct RangeResult {
     /// Revision of the store that the read saw.
     pub revision: Revision,
     /// Entries in the order of their keys.
@@ -166,13 +166,13 @@
 
 /// Answer to a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Committed {
+pub struct TxnResult {
     /// Revision of the store after the transaction; that of its writes, if it wrote.
     pub revision: Revision,
     /// Whether all conditions held.
     pub succeeded: bool,
     /// Answers to the [`Op::Range`] operations that were carried out, in their order.
-    pub found: Vec<Found>,
+    pub ranges: Vec<RangeResult>,
 }
 
 /// A change of one key.
@@ -258,7 +258,7 @@
     /// # Errors
     ///
     /// Any [`Error`]; a read has no effect in any case.
-    fn range(&self, keys: &Keys) -> Result<Found, Error>;
+    fn range(&self, keys: &Keys) -> Result<RangeResult, Error>;
 
     /// Carries out a transaction.
     ///
@@ -266,7 +266,7 @@
     ///
     /// [`Error::Unknown`] if the transaction may have taken effect or may yet; otherwise it had
     /// no effect.
-    fn txn(&self, txn: &Txn) -> Result<Committed, Error>;
+    fn txn(&self, txn: &Txn) -> Result<TxnResult, Error>;
 
     /// Grants a lease that lapses after `ttl` (in whole seconds) without renewal.
     ///
--- a/crates/runtime/tests/platform_key_value.rs
+++ b/crates/runtime/tests/platform_key_value.rs
@@ -7,7 +7,7 @@
 use pistachiochute_core::revision::Revision;
 use pistachiochute_runtime::platform::etcd;
 use pistachiochute_runtime::platform::key_value::{
-    Change, Committed, Compare, Error, KeyValue as _, Keys, Op, Txn, Watch, WatchEvent,
+    Change, Compare, Error, KeyValue as _, Keys, Op, Txn, TxnResult, Watch, WatchEvent,
 };
 use pistachiochute_standins::keyvalue;
 
@@ -40,7 +40,7 @@
     }
 }
 
-fn write(client: &etcd::Etcd, text: &'static str, value: &'static str) -> Result<Committed, Error> {
+fn write(client: &etcd::Etcd, text: &'static str, value: &'static str) -> Result<TxnResult, Error> {
     client.txn(&Txn {
         success: vec![put(text, value)],
         ..Txn::default()
@@ -48,7 +48,7 @@
 }
 
 /// Writes if the key was last written at `at`; otherwise reads it.
-fn swap(client: &etcd::Etcd, at: u64, value: &'static str) -> Result<Committed, Error> {
+fn swap(client: &etcd::Etcd, at: u64, value: &'static str) -> Result<TxnResult, Error> {
     client.txn(&Txn {
         compares: vec![Compare::Modified(key("k"), Revision(at))],
         success: vec![put("k", value)],
@@ -70,8 +70,8 @@
     assert!(first.succeeded);
     let lost = swap(&client, 0, "2").unwrap();
     assert!(!lost.succeeded);
-    assert_eq!(lost.found[0].entries[0].value, key("1"));
-    assert_eq!(lost.found[0].entries[0].modified, first.revision);
+    assert_eq!(lost.ranges[0].entries[0].value, key("1"));
+    assert_eq!(lost.ranges[0].entries[0].modified, first.revision);
     assert!(swap(&client, first.revision.0, "3").unwrap().succeeded);
     let created = Txn {
         compares: vec![Compare::Created(key("k"), first.revision)],
