--- a/crates/runtime/src/admin/edits.rs
+++ b/crates/runtime/src/admin/edits.rs
@@ -13,10 +13,10 @@
 use crate::settings;
 
 /// Delay after which an operator may come back while the store is down.
-const STORE_RETRY: std::time::Duration = std::time::Duration::from_secs(5);
+const STORE_RETRY_DELAY: std::time::Duration = std::time::Duration::from_secs(5);
 
 /// Both lists, with the revision of each entry.
-pub fn whole(cx: &Context) -> Reply {
+pub fn get_lists(cx: &Context) -> Reply {
     match cx.editor.store().read() {
         Ok(read) => Reply::json(
             200,
@@ -31,7 +31,7 @@
 }
 
 /// One entry with its revision.
-pub fn entry(cx: &Context, list: &str, name: &str) -> Reply {
+pub fn get_entry(cx: &Context, list: &str, name: &str) -> Reply {
     let read = match cx.editor.store().read() {
         Ok(read) => read,
         Err(e) => return unavailable(&e),
@@ -63,7 +63,8 @@
 }
 
 fn unavailable(e: &store::Error) -> Reply {
-    Reply::error(reason::Refusal::StoreUnavailable, e.to_string()).after(STORE_RETRY)
+    Reply::error(reason::Refusal::StoreUnavailable, e.to_string())
+        .with_retry_after(STORE_RETRY_DELAY)
 }
 
 /// The last edits, newest first.
@@ -87,13 +88,14 @@
         Resolved::Expired => Reply::json(200, &json!({ "state": "forgotten" })),
         Resolved::Unavailable => {
             let message = "the store does not answer, so the edit stays unresolved";
-            Reply::error(reason::Refusal::StoreUnavailable, message).after(STORE_RETRY)
+            Reply::error(reason::Refusal::StoreUnavailable, message)
+                .with_retry_after(STORE_RETRY_DELAY)
         }
     }
 }
 
 /// What an edit of one entry is based on.
-pub fn base(if_match: Option<String>, if_none_match: Option<String>) -> Result<Base, Reply> {
+pub fn parse_base(if_match: Option<String>, if_none_match: Option<String>) -> Result<Base, Reply> {
     match (if_match, if_none_match.as_deref()) {
         (Some(text), None) => parse_revision(&text).map(Base::Entry),
         (None, Some("*")) => Ok(Base::Absent),
@@ -111,7 +113,7 @@
 }
 
 /// Replaces both lists.
-pub fn put_whole(
+pub fn put_lists(
     cx: &Context,
     operator: &settings::Operator,
     if_match: Option<String>,
@@ -126,7 +128,7 @@
         Err(reply) => return reply,
     };
     match verify::document(body, cx.control.catalog().as_ref()) {
-        Ok(lists) => carry_out(cx, operator, Proposals::Replacement(lists, base)),
+        Ok(lists) => apply_edit(cx, operator, Proposals::Replacement(lists, base)),
         Err(findings) => invalid(&findings),
     }
 }
@@ -177,27 +179,27 @@
     change: lists::Change,
     base: Base,
 ) -> Reply {
-    carry_out(
+    apply_edit(
         cx,
         operator,
         Proposals::Entries(vec![Proposal { change, base }]),
     )
 }
 
-fn may_make(operator: &settings::Operator, change: &lists::Change) -> bool {
+fn is_allowed(operator: &settings::Operator, change: &lists::Change) -> bool {
     match change {
         lists::Change::PutAccount(name, _) | lists::Change::RemoveAccount(name) => {
-            operator.accounts.has(name)
+            operator.accounts.contains(name)
         }
         lists::Change::PutPlan(name, _) | lists::Change::RemovePlan(name) => {
-            operator.plans.has(name)
+            operator.plans.contains(name)
         }
     }
 }
 
-fn carry_out(cx: &Context, operator: &settings::Operator, proposals: Proposals) -> Reply {
+fn apply_edit(cx: &Context, operator: &settings::Operator, proposals: Proposals) -> Reply {
     let id = storage::EditId(uuid::Uuid::now_v7());
-    let allowed = |change: &lists::Change| may_make(operator, change);
+    let allowed = |change: &lists::Change| is_allowed(operator, change);
     let start: time::Time = crate::clock::now();
     let outcome = cx
         .editor
@@ -241,7 +243,8 @@
                 "the edit may have been recorded: ask `GET /v1/edits/{id}` when the store answers"
             );
             let fields = json!({ "state": "unresolved", "edit": id });
-            Reply::error_with(reason::Refusal::StoreUnavailable, message, fields).after(STORE_RETRY)
+            Reply::error_with(reason::Refusal::StoreUnavailable, message, fields)
+                .with_retry_after(STORE_RETRY_DELAY)
         }
     }
 }
@@ -249,7 +252,8 @@
 fn not_recorded(cause: Cause) -> Reply {
     let fields = json!({ "state": "not_recorded", "cause": cause });
     let message = "the edit was not recorded";
-    Reply::error_with(reason::Refusal::StoreUnavailable, message, fields).after(STORE_RETRY)
+    Reply::error_with(reason::Refusal::StoreUnavailable, message, fields)
+        .with_retry_after(STORE_RETRY_DELAY)
 }
 
 fn invalid(findings: &[lists::Finding]) -> Reply {
--- a/crates/runtime/src/admin/mod.rs
+++ b/crates/runtime/src/admin/mod.rs
@@ -38,7 +38,7 @@
 
 impl listener::Service for Context {
     fn serve(&self, req: listener::Request, answer: listener::Answer) {
-        route::reply(self, &req).send(answer);
+        route::handle(self, &req).send(answer);
     }
 
     fn refuse_busy(&self, _req: listener::Request, answer: listener::Answer) {
--- a/crates/runtime/src/admin/reply.rs
+++ b/crates/runtime/src/admin/reply.rs
@@ -80,7 +80,7 @@
     }
 
     /// The answer with a delay after which the operator may come back.
-    pub fn after(self, delay: Duration) -> Self {
+    pub fn with_retry_after(self, delay: Duration) -> Self {
         Self {
             retry_after: Some(delay),
             ..self
--- a/crates/runtime/src/admin/route.rs
+++ b/crates/runtime/src/admin/route.rs
@@ -14,7 +14,7 @@
 pub const MAX_BODY_BYTES: u64 = 1 << 20;
 
 /// Answers a request.
-pub fn reply(cx: &Context, req: &listener::Request) -> Reply {
+pub fn handle(cx: &Context, req: &listener::Request) -> Reply {
     let path = req.path();
     let query = req.head.uri.query().unwrap_or("");
     let is_get = req.head.method == http::Method::GET;
@@ -25,8 +25,8 @@
             Ok(text) => Reply::metrics(text),
             Err(e) => Reply::error(reason::Refusal::Internal, e.to_string()),
         },
-        _ => match operator(cx, req) {
-            Some(operator) => operator_reply(cx, operator, req, path, query),
+        _ => match authenticate(cx, req) {
+            Some(operator) => handle_operator(cx, operator, req, path, query),
             None => {
                 let message = "the request needs a header `Authorization: Bearer CREDENTIAL`";
                 Reply::error(reason::Refusal::Unauthorized, message)
@@ -42,7 +42,7 @@
     }
 }
 
-fn operator<'a>(cx: &'a Context, req: &listener::Request) -> Option<&'a settings::Operator> {
+fn authenticate<'a>(cx: &'a Context, req: &listener::Request) -> Option<&'a settings::Operator> {
     let credential = header(req, "authorization")?;
     let credential = credential.strip_prefix("Bearer ")?.trim();
     let digest = lists::KeyDigest::of(credential.as_bytes());
@@ -53,7 +53,7 @@
         .find(|operator| operator.digest == digest)
 }
 
-fn operator_reply(
+fn handle_operator(
     cx: &Context,
     operator: &settings::Operator,
     req: &listener::Request,
@@ -63,26 +63,26 @@
     let segments: Vec<_> = path.split('/').skip(1).collect();
     match (&req.head.method, &segments[..]) {
         (&http::Method::GET, ["v1", "status"]) => status(cx, query),
-        (&http::Method::GET, ["v1", "lists"]) => edits::whole(cx),
-        (&http::Method::GET, ["v1", "lists", list, name]) => edits::entry(cx, list, name),
+        (&http::Method::GET, ["v1", "lists"]) => edits::get_lists(cx),
+        (&http::Method::GET, ["v1", "lists", list, name]) => edits::get_entry(cx, list, name),
         (&http::Method::GET, ["v1", "history"]) => edits::history(cx),
         (&http::Method::GET, ["v1", "edits", id]) => match storage::EditId::from_str(id) {
             Ok(id) => edits::resolve(cx, id),
             Err(e) => Reply::error(reason::Refusal::BadRequest, e.to_string()),
         },
         (&http::Method::PUT, ["v1", "lists"]) => match body(req) {
-            Ok(body) => edits::put_whole(cx, operator, header(req, "if-match"), &body),
+            Ok(body) => edits::put_lists(cx, operator, header(req, "if-match"), &body),
             Err(reply) => reply,
         },
         (&http::Method::PUT, ["v1", "lists", list, name]) => match body(req) {
             Ok(body) => {
-                let base = edits::base(header(req, "if-match"), header(req, "if-none-match"));
+                let base = edits::parse_base(header(req, "if-match"), header(req, "if-none-match"));
                 edits::put_entry(cx, operator, (list, name), base, &body)
             }
             Err(reply) => reply,
         },
         (&http::Method::DELETE, ["v1", "lists", list, name]) => {
-            let base = edits::base(header(req, "if-match"), None);
+            let base = edits::parse_base(header(req, "if-match"), None);
             edits::remove_entry(cx, operator, (list, name), base)
         }
         (method, _) => {
@@ -93,10 +93,10 @@
 }
 
 fn status(cx: &Context, query: &str) -> Reply {
-    let asked = query
+    let requested = query
         .split('&')
         .find_map(|pair| pair.strip_prefix("revision="));
-    let revision = match asked.map(revision::Revision::from_str).transpose() {
+    let revision = match requested.map(revision::Revision::from_str).transpose() {
         Ok(revision) => revision,
         Err(e) => return Reply::error(reason::Refusal::BadRequest, format!("revision: {e}")),
     };
