--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -184,11 +184,11 @@
     /// Updates the gauges of the host's state.
     fn update_gauges(&self, now: time::Time) {
         let state = self.state.borrow();
-        self.metrics.believes(&metrics::Beliefs {
+        self.metrics.record_host_state(&metrics::HostState {
             catalog_version: state.catalog.version().map_or(0, |version| version.0),
             endpoints: state.directory.usable().count() as u64,
-            hosts_serving: state.hosts.live_count(now) as u64,
-            hosts_heard: state.live_peers(now) as u64,
+            live_hosts: state.hosts.live_count(now) as u64,
+            live_peers: state.live_peers(now) as u64,
             store_answers: self.store_available.get(),
         });
     }
--- a/crates/runtime/src/log/mod.rs
+++ b/crates/runtime/src/log/mod.rs
@@ -87,6 +87,6 @@
 }
 
 /// Logger whose lines carry the id of a request.
-pub fn of_request(logger: &slog::Logger, id: request::RequestId) -> slog::Logger {
+pub fn for_request(logger: &slog::Logger, id: request::RequestId) -> slog::Logger {
     logger.new(slog::o!("request" => id.to_string()))
 }
--- a/crates/runtime/src/metrics/mod.rs
+++ b/crates/runtime/src/metrics/mod.rs
@@ -61,15 +61,15 @@
 
 /// What a host believes, as the metrics show it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Beliefs {
+pub struct HostState {
     /// Version of the catalog in force, or 0.
     pub catalog_version: u64,
     /// Endpoints that take new requests.
     pub endpoints: u64,
     /// Hosts of the fleet that serve.
-    pub hosts_serving: u64,
+    pub live_hosts: u64,
     /// Other hosts that spoke lately.
-    pub hosts_heard: u64,
+    pub live_peers: u64,
     /// Whether the store answered the last call.
     pub store_answers: bool,
 }
@@ -89,7 +89,7 @@
     token_gap: metrics::Histogram<f64>,
     link_bytes: metrics::Counter<u64>,
     store_losses: metrics::Counter<u64>,
-    beliefs: metrics::Gauge<u64>,
+    host_state: metrics::Gauge<u64>,
 }
 
 impl Metrics {
@@ -111,12 +111,12 @@
             refusals: counter(&meter, "refusals", "Refused requests by reason"),
             retries: counter(&meter, "retries", "Repeated attempts by reason"),
             requests: counter(&meter, "requests", "Finished requests by outcome"),
-            in_flight: level(
+            in_flight: up_down_counter(
                 &meter,
                 "requests_in_flight",
                 "Requests of callers in progress",
             ),
-            queued: level(
+            queued: up_down_counter(
                 &meter,
                 "requests_queued",
                 "Requests in the queues of endpoints",
@@ -135,13 +135,13 @@
             ),
             link_bytes: counter(&meter, "link_bytes", "Bytes on the links between hosts"),
             store_losses: counter(&meter, "store_losses", "Times that the store was lost"),
-            beliefs: meter
+            host_state: meter
                 .u64_gauge("beliefs")
                 .with_description("What the host believes, by subject")
                 .build(),
             provider,
         };
-        made.start_at_zero();
+        made.init_to_zero();
         Ok(made)
     }
 
@@ -201,16 +201,16 @@
     }
 
     /// Shows what the host believes.
-    pub fn believes(&self, beliefs: &Beliefs) {
+    pub fn record_host_state(&self, state: &HostState) {
         let rows = [
-            ("catalog_version", beliefs.catalog_version),
-            ("endpoints", beliefs.endpoints),
-            ("hosts_serving", beliefs.hosts_serving),
-            ("hosts_heard", beliefs.hosts_heard),
-            ("store_answers", u64::from(beliefs.store_answers)),
+            ("catalog_version", state.catalog_version),
+            ("endpoints", state.endpoints),
+            ("hosts_serving", state.live_hosts),
+            ("hosts_heard", state.live_peers),
+            ("store_answers", u64::from(state.store_answers)),
         ];
         for (subject, value) in rows {
-            self.beliefs.record(value, &[label("subject", subject)]);
+            self.host_state.record(value, &[label("subject", subject)]);
         }
     }
 
@@ -234,7 +234,7 @@
         self.provider.shutdown().wrap_err("metrics")
     }
 
-    fn start_at_zero(&self) {
+    fn init_to_zero(&self) {
         for reason in reason::Refusal::ALL {
             self.refusals.add(0, &[label("reason", reason.as_str())]);
         }
@@ -275,7 +275,7 @@
         .build()
 }
 
-fn level(
+fn up_down_counter(
     meter: &metrics::Meter,
     name: &'static str,
     description: &'static str,
--- a/crates/runtime/tests/observability.rs
+++ b/crates/runtime/tests/observability.rs
@@ -84,7 +84,7 @@
     let written = Shared::default();
     let log = log::Log::to_writer(written.clone(), &host, slog::Level::Info);
     let id: request::RequestId = "req-018f3c5e7b3a7000800000000000002a".parse().unwrap();
-    slog::info!(log::of_request(log.logger(), id), "refused"; "reason" => "at_bound");
+    slog::info!(log::for_request(log.logger(), id), "refused"; "reason" => "at_bound");
     slog::debug!(log.logger(), "below the level");
     log.close();
 
