--- a/crates/runtime/src/settings/credentials.rs
+++ b/crates/runtime/src/settings/credentials.rs
@@ -8,13 +8,13 @@
 use crate::settings::{self, reader, secret};
 
 /// Text that stands for every name in a [`Scope`].
-const EVERY: &str = "*";
+const ALL_NAMES: &str = "*";
 
 /// Names that an operator may edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Scope<T> {
     /// Every name.
-    Every,
+    All,
     /// These names.
     Only(BTreeSet<T>),
 }
@@ -25,9 +25,9 @@
 {
     /// Whether the scope holds the name.
     #[must_use]
-    pub fn has(&self, name: &T) -> bool {
+    pub fn contains(&self, name: &T) -> bool {
         match self {
-            Self::Every => true,
+            Self::All => true,
             Self::Only(names) => names.contains(name),
         }
     }
@@ -72,13 +72,13 @@
 
 fn read_secret(reader: &mut reader::Reader<'_>, field: &'static str) -> Option<secret::Secret> {
     let Some(text) = reader.required(field)?.as_str() else {
-        reader.fault(field, "expected a string");
+        reader.report(field, "expected a string");
         return None;
     };
     let secret = secret::Secret::new(text);
     if secret.is_none() {
-        let least = secret::MIN_SECRET_LEN;
-        reader.fault(field, format_args!("shorter than {least} bytes"));
+        let min = secret::MIN_SECRET_LEN;
+        reader.report(field, format_args!("shorter than {min} bytes"));
     }
     secret
 }
@@ -106,14 +106,14 @@
 where
     T: serde::de::DeserializeOwned + Ord,
 {
-    let every = |item: &Value| item.as_str() == Some(EVERY);
+    let is_all = |item: &Value| item.as_str() == Some(ALL_NAMES);
     if let Some([item]) = reader
         .optional(field)
         .and_then(Value::as_array)
         .map(Vec::as_slice)
-        && every(item)
+        && is_all(item)
     {
-        return Some(Scope::Every);
+        return Some(Scope::All);
     }
     let names: Vec<T> = reader.items(field)?;
     Some(Scope::Only(names.into_iter().collect()))
@@ -123,13 +123,13 @@
     for (i, operator) in operators.iter().enumerate() {
         let earlier = &operators[..i];
         if earlier.iter().any(|other| other.name == operator.name) {
-            reader.fault(
+            reader.report(
                 &format!("operators[{i}].name"),
                 "names another operator too",
             );
         }
         if earlier.iter().any(|other| other.digest == operator.digest) {
-            reader.fault(
+            reader.report(
                 &format!("operators[{i}].digest"),
                 "belongs to another operator too",
             );
--- a/crates/runtime/src/settings/mod.rs
+++ b/crates/runtime/src/settings/mod.rs
@@ -19,7 +19,7 @@
 
 pub use credentials::{Credentials, Operator, Scope};
 pub use finding::Finding;
-pub use scalar::{Bounds, Journal, Polls, Retry, Routing, Row, Timeouts};
+pub use scalar::{Bounds, DocRow, Journal, Polls, Retry, Routing, Timeouts};
 pub use secret::{MIN_SECRET_LEN, Secret};
 
 /// Longest display name of a host, in bytes.
@@ -95,7 +95,7 @@
     pub fn load(file: &path::Path) -> Result<Self, Vec<Finding>> {
         match fs::read_to_string(file) {
             Ok(text) => Self::parse(&text),
-            Err(e) => Err(vec![whole(&e)]),
+            Err(e) => Err(vec![document_finding(&e)]),
         }
     }
 
@@ -105,7 +105,7 @@
     ///
     /// Returns every finding if there is at least one.
     pub fn parse(text: &str) -> Result<Self, Vec<Finding>> {
-        let document = document::parse(text).map_err(|e| vec![whole(&e)])?;
+        let document = document::parse(text).map_err(|e| vec![document_finding(&e)])?;
         let mut findings = Vec::new();
         let settings = reader::Reader::new("$".to_owned(), &document, &mut findings).and_then(read);
         match settings {
@@ -116,19 +116,19 @@
 
     /// Rows of the settings page for every field that has a default.
     #[must_use]
-    pub fn rows() -> Vec<Row> {
-        let mut rows = Polls::rows();
-        rows.extend(Bounds::rows());
-        rows.extend(Routing::rows());
-        rows.extend(Timeouts::rows());
-        rows.extend(Retry::rows());
-        rows.extend(Journal::rows());
+    pub fn doc_rows() -> Vec<DocRow> {
+        let mut rows = Polls::doc_rows();
+        rows.extend(Bounds::doc_rows());
+        rows.extend(Routing::doc_rows());
+        rows.extend(Timeouts::doc_rows());
+        rows.extend(Retry::doc_rows());
+        rows.extend(Journal::doc_rows());
         rows
     }
 }
 
 /// Finding about the document as a whole.
-fn whole<E>(e: &E) -> Finding
+fn document_finding<E>(e: &E) -> Finding
 where
     E: fmt::Display,
 {
@@ -203,7 +203,7 @@
     let name: String = reader.typed("name")?;
     if name.is_empty() || name.len() > MAX_DISPLAY_NAME_LEN {
         let fault = format_args!("expected 1 to {MAX_DISPLAY_NAME_LEN} bytes");
-        reader.fault("name", fault);
+        reader.report("name", fault);
         return None;
     }
     Some(Some(name))
@@ -221,7 +221,7 @@
         "info" => Some(slog::Level::Info),
         "debug" => Some(slog::Level::Debug),
         _ => {
-            reader.fault(FIELD, "expected one of error, warning, info, debug");
+            reader.report(FIELD, "expected one of error, warning, info, debug");
             None
         }
     }
@@ -239,7 +239,7 @@
         // The system chooses the port where it is 0.
         let same = |other: &&(_, _)| addr.port() != 0 && other.1 == Some(*addr);
         if let Some((other, _)) = given[..i].iter().find(same) {
-            reader.fault(name, format_args!("{addr} is the address of {other} too"));
+            reader.report(name, format_args!("{addr} is the address of {other} too"));
         }
     }
     reader.close();
@@ -267,11 +267,11 @@
 
 fn check_addrs(reader: &mut reader::Reader<'_>, addrs: &[net::SocketAddr]) {
     if addrs.is_empty() {
-        reader.fault("key_value", "expected at least one address");
+        reader.report("key_value", "expected at least one address");
     }
     for (i, addr) in addrs.iter().enumerate() {
         if addrs[..i].contains(addr) {
-            reader.fault(
+            reader.report(
                 &format!("key_value[{i}]"),
                 format_args!("{addr} is given twice"),
             );
@@ -281,16 +281,16 @@
 
 fn check_timeouts(reader: &mut reader::Reader<'_>, timeouts: &Timeouts) {
     if timeouts.connect > timeouts.request {
-        reader.fault("timeouts.connect_ms", "larger than request_ms");
+        reader.report("timeouts.connect_ms", "larger than request_ms");
     }
     if timeouts.stall > timeouts.request {
-        reader.fault("timeouts.stall_ms", "larger than request_ms");
+        reader.report("timeouts.stall_ms", "larger than request_ms");
     }
     if timeouts.ping > timeouts.stall {
-        reader.fault("timeouts.ping_ms", "larger than stall_ms");
+        reader.report("timeouts.ping_ms", "larger than stall_ms");
     }
     if timeouts.drain < timeouts.request {
         let fault = "smaller than request_ms: a planned stop would cut requests off";
-        reader.fault("timeouts.drain_ms", fault);
+        reader.report("timeouts.drain_ms", fault);
     }
 }
--- a/crates/runtime/src/settings/reader.rs
+++ b/crates/runtime/src/settings/reader.rs
@@ -17,7 +17,7 @@
     place: String,
     fields: &'a Map<String, Value>,
     /// Names that were asked for. A field with another name is unknown.
-    known: Vec<&'static str>,
+    requested: Vec<&'static str>,
     findings: &'a mut Vec<settings::Finding>,
 }
 
@@ -36,7 +36,7 @@
         Some(Self {
             place,
             fields,
-            known: Vec::new(),
+            requested: Vec::new(),
             findings,
         })
     }
@@ -44,21 +44,21 @@
     /// Reader of a field that holds an object. A missing field is a finding.
     pub fn section(&mut self, name: &'static str) -> Option<Reader<'_>> {
         let value = self.required(name)?;
-        Reader::new(self.place_of(name), value, self.findings)
+        Reader::new(self.field_path(name), value, self.findings)
     }
 
     /// Value of a field. A missing field is a finding.
     pub fn required(&mut self, name: &'static str) -> Option<&'a Value> {
         let value = self.optional(name);
         if value.is_none() {
-            self.fault(name, "is missing");
+            self.report(name, "is missing");
         }
         value
     }
 
     /// Value of a field that may be missing.
     pub fn optional(&mut self, name: &'static str) -> Option<&'a Value> {
-        self.known.push(name);
+        self.requested.push(name);
         self.fields.get(name)
     }
 
@@ -68,7 +68,7 @@
         T: serde::de::DeserializeOwned,
     {
         let value = self.required(name)?;
-        let place = self.place_of(name);
+        let place = self.field_path(name);
         self.decode(place, value)
     }
 
@@ -87,9 +87,9 @@
         F: FnMut(String, &Value, &mut Vec<settings::Finding>) -> Option<T>,
     {
         let value = self.required(name)?;
-        let place = self.place_of(name);
+        let place = self.field_path(name);
         let Some(items) = value.as_array() else {
-            self.fault(
+            self.report(
                 name,
                 format_args!("expected an array, found {}", kind(value)),
             );
@@ -116,22 +116,22 @@
         let Some(value) = self.optional(name) else {
             return Some(default);
         };
-        let place = self.place_of(name);
+        let place = self.field_path(name);
         let number: T = self.decode(place, value)?;
         if range.contains(&number) {
             return Some(number);
         }
         let (low, high) = range.into_inner();
-        self.fault(name, format_args!("{number} is not from {low} to {high}"));
+        self.report(name, format_args!("{number} is not from {low} to {high}"));
         None
     }
 
     /// Leaves a finding at a field.
-    pub fn fault<D>(&mut self, name: &str, fault: D)
+    pub fn report<D>(&mut self, name: &str, fault: D)
     where
         D: fmt::Display,
     {
-        let place = self.place_of(name);
+        let place = self.field_path(name);
         let fault = fault.to_string();
         self.findings.push(settings::Finding { place, fault });
     }
@@ -141,10 +141,10 @@
         let unknown: Vec<_> = self
             .fields
             .keys()
-            .filter(|name| !self.known.contains(&name.as_str()))
+            .filter(|name| !self.requested.contains(&name.as_str()))
             .collect();
         for name in unknown {
-            self.fault(name, "unknown field");
+            self.report(name, "unknown field");
         }
     }
 
@@ -155,7 +155,7 @@
         decode(place, value, self.findings)
     }
 
-    fn place_of(&self, name: &str) -> String {
+    fn field_path(&self, name: &str) -> String {
         format!("{}.{name}", self.place)
     }
 }
--- a/crates/runtime/src/settings/scalar.rs
+++ b/crates/runtime/src/settings/scalar.rs
@@ -12,7 +12,7 @@
 
 /// Row of the settings page.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct DocRow {
     /// JSON path without `$`, such as `bounds.body_bytes`.
     pub place: String,
     /// Default value.
@@ -43,8 +43,8 @@
 
             /// Rows of the settings page for the section.
             #[must_use]
-            pub fn rows() -> Vec<Row> {
-                vec![$(Row {
+            pub fn doc_rows() -> Vec<DocRow> {
+                vec![$(DocRow {
                     place: concat!($section, ".", $json).to_owned(),
                     default: $default.to_string(),
                     range: ($range.start().to_string(), $range.end().to_string()),
--- a/crates/runtime/tests/settings.rs
+++ b/crates/runtime/tests/settings.rs
@@ -52,8 +52,8 @@
     };
     let farm: name::AccountName = "farm".parse().unwrap();
     let school: name::AccountName = "school".parse().unwrap();
-    assert!(ana.accounts.has(&school));
-    assert!(bo.accounts.has(&farm) && !bo.accounts.has(&school));
+    assert!(ana.accounts.contains(&school));
+    assert!(bo.accounts.contains(&farm) && !bo.accounts.contains(&school));
 }
 
 #[test]
@@ -184,7 +184,7 @@
 
 #[test]
 fn the_settings_page_states_every_default() {
-    for row in settings::Settings::rows() {
+    for row in settings::Settings::doc_rows() {
         let (low, high) = &row.range;
         let line = format!(
             "| `{}` | {} | {low} to {high} | {} |",
