--- a/crates/core/tests/directory.rs
+++ b/crates/core/tests/directory.rs
@@ -322,10 +322,10 @@
 }
 
 /// Regression test: a relay that reached the store again found an entry missing from the list, and
-/// recorded an unconfirmed removal at the revision of the list. It reported to others that they knew all
-/// changes before that revision, so they did not ask another relay for the removal, which had
-/// happened earlier, and sent requests to the endpoint 3.4 s after it had left (run `hunt-bb55-3`
-/// of the grown deployment Lombardy).
+/// recorded an unconfirmed removal at the revision of the list. It reported to others that they
+/// knew all changes before that revision, so they did not ask another relay for the removal, which
+/// had happened earlier, and sent requests to the endpoint 3.4 s after it had left (run
+/// `hunt-bb55-3` of the grown deployment Lombardy).
 #[test]
 fn an_unconfirmed_removal_found_by_a_list_hides_no_earlier_confirmed_one() {
     let [mut returned, mut steady, mut member] = [World::new(), World::new(), World::new()];
