--- a/crates/core/tests/limits_claims.rs
+++ b/crates/core/tests/limits_claims.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Calls of a process to the store, and their answers, that are in message.
+/// Calls of a process to the store, and their answers, that are in flight.
 enum InFlight {
     Read {
         process: usize,
--- a/crates/core/tests/limits_credit.rs
+++ b/crates/core/tests/limits_credit.rs
@@ -233,13 +233,13 @@
                 88..=97 => (0..6).for_each(|_| sim.end(index, u64::from(arg) % 300)),
                 98 => sim.move_slice(arg as u8 % SLICES),
                 _ => {
-                    // The process restarts, and its requests in message end.
+                    // The process restarts, and its requests in flight end.
                     sim.running.retain(|(other, _)| *other != entry);
                     let boot = 2 + sim.requests as u64;
                     sim.entries[entry].0 = Borrower::new(boot, [false; SLICES as usize]);
                 }
             }
-            prop_assert!(sim.running.len() <= 16, "{} in message", sim.running.len());
+            prop_assert!(sim.running.len() <= 16, "{} in flight", sim.running.len());
         }
         prop_assert_eq!(over_admission(&sim.charges, 1), [0, 0]);
     }
