--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -226,18 +226,18 @@
         if !self.pools[host].owns(endpoint(index)) {
             return;
         }
-        let left = self.pools[host].give_up(endpoint(index), self.now);
+        let load = self.pools[host].give_up(endpoint(index), self.now);
         self.closed_until.remove(&(host, index));
         let known = self.max_known.entry((host, index)).or_default();
-        *known = (*known).max(left);
+        *known = (*known).max(load);
         let Some(to) = to.filter(|to| *to != host) else {
             return;
         };
         if self.pools[to].owns(endpoint(index)) {
-            self.pools[to].record_handover(endpoint(index), left);
+            self.pools[to].record_handover(endpoint(index), load);
             self.closed_until.remove(&(to, index));
             let known = self.max_known.entry((to, index)).or_default();
-            *known = (*known).max(left);
+            *known = (*known).max(load);
         }
     }
 
@@ -367,8 +367,8 @@
         age: Duration::ZERO,
         pushes_changes: None,
     };
-    let heard = start + Duration::from_secs(2);
-    pool.update_view(endpoint(1), remote, heard);
+    let observed_at = start + Duration::from_secs(2);
+    pool.update_view(endpoint(1), remote, observed_at);
     let first_end = start + grace;
     assert_eq!(
         pool.admit(endpoint(1), 10, first_end),
@@ -378,7 +378,7 @@
     handed_over.record_handover(endpoint(1), 0);
     assert_eq!(handed_over.admit(endpoint(1), 10, first_end), Ok(()));
     assert_ne!(
-        pool.admit(endpoint(1), 10, heard + grace),
+        pool.admit(endpoint(1), 10, observed_at + grace),
         Err(pool::Refused::TakingOver)
     );
 }
