--- a/crates/runtime/src/admin/edits.rs
+++ b/crates/runtime/src/admin/edits.rs
@@ -127,7 +127,7 @@
         Ok(base) => base,
         Err(reply) => return reply,
     };
-    match verify::document(body, cx.control.catalog().as_ref()) {
+    match verify::document(body, cx.control.served_targets().as_ref()) {
         Ok(lists) => apply_edit(cx, operator, Proposals::Replacement(lists, base)),
         Err(findings) => invalid(&findings),
     }
--- a/crates/runtime/src/control/arrive.rs
+++ b/crates/runtime/src/control/admission.rs
@@ -5,17 +5,17 @@
 use smallvec::SmallVec;
 
 use crate::control::state::State;
-use crate::control::{Admitted, COME_BACK, Candidate, Refused};
+use crate::control::{Admitted, Candidate, DEFAULT_RETRY_AFTER, Refused};
 use crate::entry::call;
 
 /// Answer that is expected of a caller that states no longest answer, in tokens.
-const USUAL_ANSWER: units::Tokens = units::Tokens(512);
+const DEFAULT_ANSWER: units::Tokens = units::Tokens(512);
 
 /// Work that one call of a service counts as.
-const SERVICE_CALL: units::Tokens = units::Tokens(1);
+const SERVICE_CALL_COST: units::Tokens = units::Tokens(1);
 
 /// Loads that one forwarded request carries.
-const MAX_LOADS: usize = 4;
+const MAX_LOAD_VIEWS: usize = 4;
 
 impl Refused {
     pub(super) fn new<M>(reason: reason::Refusal, message: M) -> Self
@@ -29,32 +29,32 @@
         }
     }
 
-    pub(super) fn later<M>(reason: reason::Refusal, message: M) -> Self
+    pub(super) fn retry_later<M>(reason: reason::Refusal, message: M) -> Self
     where
         M: Into<String>,
     {
         Self {
-            retry_after: Some(COME_BACK),
+            retry_after: Some(DEFAULT_RETRY_AFTER),
             ..Self::new(reason, message)
         }
     }
 
-    pub(crate) fn stopped() -> Self {
-        Self::later(reason::Refusal::Draining, "the host is shutting down")
+    pub(crate) fn shutting_down() -> Self {
+        Self::retry_later(reason::Refusal::Draining, "the host is shutting down")
     }
 }
 
 impl State {
-    pub(super) fn arrive(
+    pub(super) fn admit(
         &mut self,
         _now: time::Time,
         request: request::RequestId,
         call: &call::Call,
     ) -> Result<Admitted, Refused> {
         if self.draining {
-            return Err(Refused::stopped());
+            return Err(Refused::shutting_down());
         }
-        let (account, plan) = self.plan_of(call)?;
+        let (account, plan) = self.authorize(call)?;
         let chat = call
             .chat
             .as_ref()
@@ -63,17 +63,17 @@
             weight: plan.weight,
             priority: plan.priority,
             chat,
-            cost: cost(call, plan),
+            cost: estimate_cost(call, plan),
             revision: self.revision,
             candidates: self.candidates(request, chat, &call.target),
-            loads: self.loads(&call.target),
+            loads: self.load_views(&call.target),
             account: account.clone(),
         };
         if admitted.candidates.is_empty() {
             let message = format!("no endpoint that can be reached serves {}", call.target);
-            return Err(Refused::later(reason::Refusal::NoEndpoint, message));
+            return Err(Refused::retry_later(reason::Refusal::NoEndpoint, message));
         }
-        self.arrived.insert(request, admitted.account.clone());
+        self.in_progress.insert(request, admitted.account.clone());
         Ok(admitted)
     }
 
@@ -82,7 +82,7 @@
         &self,
         key_digest: &lists::KeyDigest,
     ) -> Result<Vec<name::ModelName>, Refused> {
-        let (_, account) = self.account_of(key_digest)?;
+        let (_, account) = self.account_by_key(key_digest)?;
         let plan = self.plan(account);
         Ok(plan.map_or_else(Vec::new, |plan| plan.models.clone()))
     }
@@ -91,13 +91,13 @@
         self.lists.as_ref()?.plans.get(&account.plan)
     }
 
-    fn account_of(
+    fn account_by_key(
         &self,
         key_digest: &lists::KeyDigest,
     ) -> Result<(&name::AccountName, &lists::Account), Refused> {
         let Some(lists) = &self.lists else {
             let message = "the host has not yet taken over the lists";
-            return Err(Refused::later(reason::Refusal::NotReady, message));
+            return Err(Refused::retry_later(reason::Refusal::NotReady, message));
         };
         let account = self.accounts.get(key_digest);
         account
@@ -108,8 +108,8 @@
             })
     }
 
-    fn plan_of(&self, call: &call::Call) -> Result<(&name::AccountName, &lists::Plan), Refused> {
-        let (name, account) = self.account_of(&call.key_digest)?;
+    fn authorize(&self, call: &call::Call) -> Result<(&name::AccountName, &lists::Plan), Refused> {
+        let (name, account) = self.account_by_key(&call.key_digest)?;
         match self.plan(account) {
             Some(plan) if plan.allows(&call.target) => Ok((name, plan)),
             _ => {
@@ -150,7 +150,7 @@
         })
     }
 
-    fn loads(&self, target: &request::Target) -> SmallVec<[forward::LoadView; 4]> {
+    fn load_views(&self, target: &request::Target) -> SmallVec<[forward::LoadView; 4]> {
         let serves = |endpoint: &entity::EndpointId| {
             self.directory
                 .endpoint(*endpoint)
@@ -164,19 +164,19 @@
         self.owner
             .owned_loads()
             .filter(|(endpoint, _)| serves(endpoint))
-            .take(MAX_LOADS)
+            .take(MAX_LOAD_VIEWS)
             .map(view)
             .collect()
     }
 }
 
 /// Estimated work of a call, prompt and answer.
-fn cost(call: &call::Call, plan: &lists::Plan) -> units::Tokens {
+fn estimate_cost(call: &call::Call, plan: &lists::Plan) -> units::Tokens {
     match call.target {
         request::Target::Model(_) => {
-            let answer = call.longest_answer.unwrap_or(USUAL_ANSWER);
+            let answer = call.longest_answer.unwrap_or(DEFAULT_ANSWER);
             call.prompt + answer.min(plan.longest_answer)
         }
-        request::Target::Service(_) => SERVICE_CALL,
+        request::Target::Service(_) => SERVICE_CALL_COST,
     }
 }
--- a/crates/runtime/src/control/command.rs
+++ b/crates/runtime/src/control/command.rs
@@ -8,30 +8,30 @@
 use pistachiochute_messages::{control, forward};
 use tokio::sync::oneshot;
 
-use crate::control::{Admitted, Candidate, ListsStatus, Refused, Status, Verdict};
+use crate::control::{Admitted, Candidate, ListsStatus, OfferDecision, Refused, Status};
 use crate::entry::call;
 use crate::link;
 use crate::lists::sync;
 
 /// A command, with the channel for its answer if it has one.
 pub(super) enum Command {
-    Arrive {
+    Admit {
         request: request::RequestId,
         call: Box<call::Call>,
         tx: channel::Sender<Result<Admitted, Refused>>,
     },
-    Depart(request::RequestId),
+    EndRequest(request::RequestId),
     Models {
         key_digest: lists::KeyDigest,
         tx: channel::Sender<Result<Vec<name::ModelName>, Refused>>,
     },
-    Retries {
+    NewRetryState {
         request: request::RequestId,
         repeat: request::Idempotency,
         deadline: time::Time,
         tx: channel::Sender<retry::RetryState>,
     },
-    Failed {
+    RecordFailure {
         retries: Box<retry::RetryState>,
         failure: retry::Failure,
         tx: channel::Sender<(retry::RetryState, retry::Decision)>,
@@ -42,20 +42,20 @@
     },
     Offer {
         head: Box<forward::Forward>,
-        tx: channel::Sender<Verdict>,
+        tx: channel::Sender<OfferDecision>,
     },
     Finish {
         endpoint: entity::EndpointId,
         id: owner::AttemptId,
         used: Option<units::Tokens>,
     },
-    Abandon {
+    Cancel {
         endpoint: entity::EndpointId,
         id: owner::AttemptId,
     },
-    Sign(entity::EndpointId, health::Observation),
+    ObserveHealth(entity::EndpointId, health::Observation),
     /// Gives the control thread its links, which need the control thread to be made.
-    Connect(link::Sender),
+    SetLinks(link::Sender),
     Message {
         message: control::Message,
         done: oneshot::Sender<Bytes>,
@@ -64,13 +64,13 @@
         from: entity::HostId,
         answer: Result<control::Message, link::CallError>,
     },
-    HostList(topology::HostList),
+    UpdateHostList(topology::HostList),
     /// Gives the control thread the thread that calls the store.
-    ConnectStore(sync::Orders),
+    SetStore(sync::Orders),
     StoreAnswer(lists::replica::StoreAnswer),
-    Recorded(lists::Delta),
+    RecordedDelta(lists::Delta),
     HighestVersion(channel::Sender<lists::Version>),
-    Catalog(channel::Sender<Option<lists::verify::ServedTargets>>),
+    ServedTargets(channel::Sender<Option<lists::verify::ServedTargets>>),
     ListsStatus {
         revision: Option<revision::Revision>,
         tx: channel::Sender<ListsStatus>,
--- a/crates/runtime/src/control/handle.rs
+++ b/crates/runtime/src/control/handle.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 
 use crate::control::command::Command;
-use crate::control::{Admitted, Candidate, ListsStatus, Refused, Status, Verdict};
+use crate::control::{Admitted, Candidate, ListsStatus, OfferDecision, Refused, Status};
 use crate::entry::call;
 use crate::link;
 use crate::lists::sync;
@@ -34,12 +34,12 @@
     }
 
     /// Asks whether and where a caller's request may be served. An admitted request must
-    /// [`Handle::depart`] when it has ended.
+    /// [`Handle::end_request`] when it has ended.
     ///
     /// # Errors
     ///
     /// Returns the refusal for the caller.
-    pub fn arrive(
+    pub fn admit(
         &self,
         request: request::RequestId,
         call: &call::Call,
@@ -49,12 +49,12 @@
             body: bytes::Bytes::new(),
             ..call.clone()
         };
-        let admitted = self.ask(|tx| Command::Arrive {
+        let admitted = self.request(|tx| Command::Admit {
             request,
             call: Box::new(call),
             tx,
         });
-        admitted.unwrap_or_else(|| Err(Refused::stopped()))
+        admitted.unwrap_or_else(|| Err(Refused::shutting_down()))
     }
 
     /// Models that the plan of a caller's account may use.
@@ -63,24 +63,24 @@
     ///
     /// Returns the refusal for the caller.
     pub fn models(&self, key_digest: lists::KeyDigest) -> Result<Vec<name::ModelName>, Refused> {
-        let models = self.ask(|tx| Command::Models { key_digest, tx });
-        models.unwrap_or_else(|| Err(Refused::stopped()))
+        let models = self.request(|tx| Command::Models { key_digest, tx });
+        models.unwrap_or_else(|| Err(Refused::shutting_down()))
     }
 
     /// Ends a request that was admitted.
-    pub fn depart(&self, request: request::RequestId) {
-        self.tell(Command::Depart(request));
+    pub fn end_request(&self, request: request::RequestId) {
+        self.send(Command::EndRequest(request));
     }
 
     /// Makes the attempts of a request, which share the retry budget of the host.
     #[must_use]
-    pub fn retries(
+    pub fn new_retry_state(
         &self,
         request: request::RequestId,
         repeat: request::Idempotency,
         deadline: time::Time,
     ) -> Option<retry::RetryState> {
-        self.ask(|tx| Command::Retries {
+        self.request(|tx| Command::NewRetryState {
             request,
             repeat,
             deadline,
@@ -90,12 +90,12 @@
 
     /// Decides what follows a failed attempt.
     #[must_use]
-    pub fn failed(
+    pub fn record_failure(
         &self,
         retries: retry::RetryState,
         failure: retry::Failure,
     ) -> Option<(retry::RetryState, retry::Decision)> {
-        self.ask(|tx| Command::Failed {
+        self.request(|tx| Command::RecordFailure {
             retries: Box::new(retries),
             failure,
             tx,
@@ -105,15 +105,16 @@
     /// Finds the owner of an endpoint.
     #[must_use]
     pub fn locate(&self, endpoint: entity::EndpointId) -> Option<Candidate> {
-        self.ask(|tx| Command::Locate { endpoint, tx }).flatten()
+        self.request(|tx| Command::Locate { endpoint, tx })
+            .flatten()
     }
 
     /// Offers a forwarded request for an endpoint that this host owns. Verdicts come on the
     /// returned channel. Work that was dispatched must [`Handle::finish`].
     #[must_use]
-    pub fn offer(&self, head: &forward::Forward) -> channel::Receiver<Verdict> {
+    pub fn offer(&self, head: &forward::Forward) -> channel::Receiver<OfferDecision> {
         let (tx, rx) = channel::unbounded();
-        self.tell(Command::Offer {
+        self.send(Command::Offer {
             head: Box::new(head.clone()),
             tx,
         });
@@ -127,94 +128,94 @@
         id: owner::AttemptId,
         used: Option<units::Tokens>,
     ) {
-        self.tell(Command::Finish { endpoint, id, used });
+        self.send(Command::Finish { endpoint, id, used });
     }
 
     /// Takes in what a call showed of the endpoint's health.
-    pub fn sign(&self, endpoint: entity::EndpointId, sign: health::Observation) {
-        self.tell(Command::Sign(endpoint, sign));
+    pub fn observe_health(&self, endpoint: entity::EndpointId, observation: health::Observation) {
+        self.send(Command::ObserveHealth(endpoint, observation));
     }
 
     /// Takes offered work back, because its caller went away.
-    pub fn abandon(&self, endpoint: entity::EndpointId, id: owner::AttemptId) {
-        self.tell(Command::Abandon { endpoint, id });
+    pub fn cancel(&self, endpoint: entity::EndpointId, id: owner::AttemptId) {
+        self.send(Command::Cancel { endpoint, id });
     }
 
     /// Gives the control thread the links on which it sends messages.
-    pub fn connect(&self, links: link::Sender) {
-        self.tell(Command::Connect(links));
+    pub fn set_links(&self, links: link::Sender) {
+        self.send(Command::SetLinks(links));
     }
 
     /// Takes a message of another host. The answer goes to `done`.
-    pub fn message(&self, message: control::Message, done: oneshot::Sender<Bytes>) {
-        self.tell(Command::Message { message, done });
+    pub fn handle_message(&self, message: control::Message, done: oneshot::Sender<Bytes>) {
+        self.send(Command::Message { message, done });
     }
 
     /// Takes the answer of another host to a message, or the reason why there is none.
-    pub(crate) fn answer(
+    pub(crate) fn handle_answer(
         &self,
         from: entity::HostId,
         answer: Result<control::Message, link::CallError>,
     ) {
-        self.tell(Command::Answer { from, answer });
+        self.send(Command::Answer { from, answer });
     }
 
     /// Takes in the host list of the platform.
-    pub fn host_list(&self, list: topology::HostList) {
-        self.tell(Command::HostList(list));
+    pub fn update_host_list(&self, list: topology::HostList) {
+        self.send(Command::UpdateHostList(list));
     }
 
     /// Gives the control thread the thread that calls the store.
-    pub fn connect_store(&self, orders: sync::Orders) {
-        self.tell(Command::ConnectStore(orders));
+    pub fn set_store(&self, orders: sync::Orders) {
+        self.send(Command::SetStore(orders));
     }
 
     /// Takes the answer to an order to read the store.
-    pub fn store_answer(&self, answer: lists::replica::StoreAnswer) {
-        self.tell(Command::StoreAnswer(answer));
+    pub fn handle_store_answer(&self, answer: lists::replica::StoreAnswer) {
+        self.send(Command::StoreAnswer(answer));
     }
 
     /// Takes an edit of the lists that the store has recorded.
-    pub fn recorded(&self, delta: lists::Delta) {
-        self.tell(Command::Recorded(delta));
+    pub fn handle_recorded_delta(&self, delta: lists::Delta) {
+        self.send(Command::RecordedDelta(delta));
     }
 
     /// Largest version of the lists that is known to exist.
     #[must_use]
     pub fn highest_version(&self) -> lists::Version {
-        self.ask(Command::HighestVersion)
+        self.request(Command::HighestVersion)
             .unwrap_or(lists::Version::NONE)
     }
 
     /// Models and services that endpoints serve, or `None` while the host list is not known.
     #[must_use]
-    pub fn catalog(&self) -> Option<lists::verify::ServedTargets> {
-        self.ask(Command::Catalog).flatten()
+    pub fn served_targets(&self) -> Option<lists::verify::ServedTargets> {
+        self.request(Command::ServedTargets).flatten()
     }
 
     /// What the domains have in force of a revision, or of the host's own if it is `None`.
     #[must_use]
     pub fn lists_status(&self, revision: Option<revision::Revision>) -> Option<ListsStatus> {
-        self.ask(|tx| Command::ListsStatus { revision, tx })
+        self.request(|tx| Command::ListsStatus { revision, tx })
     }
 
     /// State of the host, or `None` once the control thread has ended.
     #[must_use]
     pub fn status(&self) -> Option<Status> {
-        self.ask(Command::Status)
+        self.request(Command::Status)
     }
 
     /// Stops taking new requests.
     pub fn drain(&self) {
-        self.tell(Command::Drain);
+        self.send(Command::Drain);
     }
 
-    pub(super) fn tell(&self, command: Command) {
+    pub(super) fn send(&self, command: Command) {
         // Only a closed control thread refuses commands, and then there is nothing to decide.
         let _ = self.tx.send(command);
     }
 
-    fn ask<T, F>(&self, make: F) -> Option<T>
+    fn request<T, F>(&self, make: F) -> Option<T>
     where
         F: FnOnce(channel::Sender<T>) -> Command,
     {
--- a/crates/runtime/src/control/loads.rs
+++ b/crates/runtime/src/control/loads.rs
@@ -25,7 +25,7 @@
     }
 
     /// Opens the endpoints that this host owns and shuts the others.
-    pub(super) fn assign(&mut self, now: time::Time) {
+    pub(super) fn reconcile_endpoints(&mut self, now: time::Time) {
         let host = self.settings.host.id;
         let domain = self.settings.host.domain;
         let live: Vec<topology::Endpoint> = self
@@ -44,7 +44,7 @@
                     true => reason::Refusal::EndpointLeaving,
                     false => reason::Refusal::NotOwner,
                 };
-                self.give_up(now, endpoint, reason);
+                self.close_endpoint(now, endpoint, reason);
             }
         }
         let members: SmallVec<[entity::EndpointId; 8]> = self.owner.members().collect();
@@ -57,14 +57,14 @@
             let class = owner::Class::of(&endpoint.serves);
             self.owner.join(now, endpoint.id, class);
             if owned(self, endpoint.id) {
-                self.open(now, endpoint);
+                self.open_endpoint(now, endpoint);
             }
         }
-        self.ask_former_owners(now);
-        self.loads_changed(now);
+        self.query_former_owners(now);
+        self.schedule_report(now);
     }
 
-    fn open(&mut self, now: time::Time, endpoint: &topology::Endpoint) {
+    fn open_endpoint(&mut self, now: time::Time, endpoint: &topology::Endpoint) {
         let class = owner::Class::of(&endpoint.serves);
         if !self.owner.open(now, endpoint.id, class, endpoint.slots) {
             return;
@@ -72,11 +72,11 @@
         let peers = self.peers();
         if self.handovers.claim(endpoint.id, peers) {
             let effects = self.owner.record_handover(now, endpoint.id, 0);
-            self.deliver(effects);
+            self.apply_owner_effects(effects);
         }
     }
 
-    pub(super) fn give_up(
+    pub(super) fn close_endpoint(
         &mut self,
         now: time::Time,
         endpoint: entity::EndpointId,
@@ -85,11 +85,11 @@
         self.handovers.cancel(endpoint);
         self.health.remove(endpoint);
         let effects = self.owner.close(now, endpoint, reason);
-        self.deliver(effects);
+        self.apply_owner_effects(effects);
     }
 
     /// Asks the other hosts of the domain about the endpoints that this host takes over.
-    fn ask_former_owners(&mut self, now: time::Time) {
+    fn query_former_owners(&mut self, now: time::Time) {
         for (peer, claims) in self.handovers.due_queries(now) {
             let report = self.report(claims);
             self.send(peer, &control::Message::Loads(report));
@@ -100,7 +100,7 @@
         let load = |(endpoint, load)| report::Load { endpoint, load };
         report::Report {
             from: self.settings.host.id,
-            pushes_changes: self.prompt,
+            pushes_changes: self.pushes_changes,
             loads: self
                 .owner
                 .owned_loads()
@@ -113,9 +113,9 @@
     }
 
     /// Tells the other hosts of the domain of changed loads, as often as the budget allows.
-    pub(super) fn loads_changed(&mut self, now: time::Time) {
+    pub(super) fn schedule_report(&mut self, now: time::Time) {
         let peers = self.peers();
-        if let Some(at) = self.pace.schedule(peers.len(), now) {
+        if let Some(at) = self.report_pacer.schedule(peers.len(), now) {
             self.report_at = Some(at);
         }
         self.send_report(now, &peers);
@@ -124,13 +124,13 @@
     /// Does the timed work on loads.
     pub(super) fn tick_loads(&mut self, now: time::Time) {
         let peers = self.peers();
-        if let Some(at) = self.pace.schedule_refresh(peers.len(), now) {
+        if let Some(at) = self.report_pacer.schedule_refresh(peers.len(), now) {
             self.report_at = Some(at);
         }
         self.send_report(now, &peers);
-        self.ask_former_owners(now);
+        self.query_former_owners(now);
         let effects = self.owner.dispatch_queued(now);
-        self.deliver(effects);
+        self.apply_owner_effects(effects);
     }
 
     fn send_report(&mut self, now: time::Time, peers: &[entity::HostId]) {
@@ -138,7 +138,7 @@
             return;
         }
         self.report_at = None;
-        self.prompt = self.pace.record_sent(peers.len(), now);
+        self.pushes_changes = self.report_pacer.record_sent(peers.len(), now);
         let message = control::Message::Loads(self.report(SmallVec::new()));
         for peer in peers {
             self.send(*peer, &message);
@@ -146,29 +146,33 @@
     }
 
     /// Takes a report of another host and answers it.
-    pub(super) fn reported(&mut self, now: time::Time, report: &report::Report) -> report::Report {
-        self.take_report(now, report);
+    pub(super) fn handle_report(
+        &mut self,
+        now: time::Time,
+        report: &report::Report,
+    ) -> report::Report {
+        self.apply_report(now, report);
         let not_owned = |endpoint: &&entity::EndpointId| !self.owner.is_open(**endpoint);
-        let left = |endpoint: &entity::EndpointId| report::Load {
+        let residual = |endpoint: &entity::EndpointId| report::Load {
             endpoint: *endpoint,
             load: self.owner.residual_load(*endpoint),
         };
         let claims = report.claims.iter().take(report::MAX_ENTRIES);
         report::Report {
-            residual: claims.filter(not_owned).map(left).collect(),
+            residual: claims.filter(not_owned).map(residual).collect(),
             ..self.report(SmallVec::new())
         }
     }
 
     /// Takes in the loads of another host, and what it says of endpoints that this host claims.
-    pub(super) fn take_report(&mut self, now: time::Time, report: &report::Report) {
+    pub(super) fn apply_report(&mut self, now: time::Time, report: &report::Report) {
         for load in report.loads.iter().take(report::MAX_ENTRIES) {
-            let reading = pool::RemoteLoad {
+            let remote = pool::RemoteLoad {
                 load: load.load,
                 age: REPORT_AGE,
                 pushes_changes: Some(report.pushes_changes),
             };
-            self.owner.update_view(now, load.endpoint, reading);
+            self.owner.update_view(now, load.endpoint, remote);
         }
         for left in report.residual.iter().take(report::MAX_ENTRIES) {
             if let Some(load) = self
@@ -176,16 +180,16 @@
                 .record_answer(report.from, left.endpoint, left.load)
             {
                 let effects = self.owner.record_handover(now, left.endpoint, load);
-                self.deliver(effects);
+                self.apply_owner_effects(effects);
             }
         }
     }
 
     /// Takes in that a host cannot be reached any more.
-    pub(super) fn host_gone(&mut self, now: time::Time, host: entity::HostId) {
+    pub(super) fn host_down(&mut self, now: time::Time, host: entity::HostId) {
         for (endpoint, load) in self.handovers.host_down(host) {
             let effects = self.owner.record_handover(now, endpoint, load);
-            self.deliver(effects);
+            self.apply_owner_effects(effects);
         }
     }
 }
--- a/crates/runtime/src/control/mod.rs
+++ b/crates/runtime/src/control/mod.rs
@@ -3,7 +3,7 @@
 //! Traffic threads send typed commands and wait for their answers, so no control state is shared
 //! and every decision is made by the state machines of the core in one order.
 
-mod arrive;
+mod admission;
 mod command;
 mod handle;
 mod loads;
@@ -31,7 +31,7 @@
 const COMMAND_BUFFER: usize = 4096;
 
 /// Delay after which a caller may come back when nothing better is known.
-pub const COME_BACK: Duration = Duration::from_secs(1);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Time between two rounds of timed work.
 const TICK: Duration = Duration::from_millis(50);
@@ -92,13 +92,13 @@
 
 /// What the owner side does with offered work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum OfferDecision {
     /// Send the work to the endpoint.
     Dispatch {
         /// Address of the endpoint.
         addr: net::SocketAddr,
     },
-    /// The work waits; another verdict follows.
+    /// The work waits; another decision follows.
     Queued {
         /// Entries in the queue before it.
         ahead: u32,
@@ -124,7 +124,8 @@
     /// Revision of the lists in force.
     pub revision: revision::Revision,
     /// Requests of callers in progress.
-    pub arrived: usize,
+    #[serde(rename = "arrived")]
+    pub requests_in_progress: usize,
     /// Work that runs and waits at the endpoints that the host owns.
     pub owned: usize,
     /// Endpoints that the host takes new work for.
@@ -172,7 +173,7 @@
 
     /// Ends the thread.
     pub fn close(self) {
-        self.handle.tell(Command::Close);
+        self.handle.send(Command::Close);
         let _ = self.thread.join();
     }
 }
--- a/crates/runtime/src/control/offer.rs
+++ b/crates/runtime/src/control/offer.rs
@@ -8,19 +8,19 @@
 use pistachiochute_core::{owner, reason, request, time};
 use pistachiochute_messages::forward;
 
-use crate::control::Verdict;
-use crate::control::state::{Offered, State};
+use crate::control::OfferDecision;
+use crate::control::state::{OfferedWork, State};
 
 impl State {
     pub(super) fn offer(
         &mut self,
         now: time::Time,
         head: &forward::Forward,
-        tx: channel::Sender<Verdict>,
+        tx: channel::Sender<OfferDecision>,
     ) {
-        self.observe(now, head);
-        if let Some(reason) = self.refusal_of(head) {
-            let _ = tx.send(Verdict::Refuse {
+        self.update_load_views(now, head);
+        if let Some(reason) = self.check_offer(head) {
+            let _ = tx.send(OfferDecision::Refuse {
                 reason,
                 retry_after: None,
             });
@@ -35,7 +35,7 @@
             weight: head.weight,
             priority: head.priority,
             cost: head.cost,
-            load: load_of(head),
+            load: estimate_load(head),
             pool: self
                 .directory
                 .pool(&head.target, self.settings.host.domain)
@@ -45,30 +45,30 @@
         };
         self.offers.insert(
             work.id,
-            Offered {
+            OfferedWork {
                 endpoint: head.endpoint,
                 queued: false,
                 tx,
             },
         );
         let effects = self.owner.offer(now, head.endpoint, work);
-        self.deliver(effects);
-        self.loads_changed(now);
+        self.apply_owner_effects(effects);
+        self.schedule_report(now);
     }
 
-    fn observe(&mut self, now: time::Time, head: &forward::Forward) {
+    fn update_load_views(&mut self, now: time::Time, head: &forward::Forward) {
         for view in &head.loads {
-            let reading = pool::RemoteLoad {
+            let remote = pool::RemoteLoad {
                 load: view.load,
                 age: Duration::from_millis(view.age_ms.into()),
                 pushes_changes: None,
             };
-            self.owner.update_view(now, view.endpoint, reading);
+            self.owner.update_view(now, view.endpoint, remote);
         }
     }
 
     /// Why this host cannot take the work at all.
-    fn refusal_of(&self, head: &forward::Forward) -> Option<reason::Refusal> {
+    fn check_offer(&self, head: &forward::Forward) -> Option<reason::Refusal> {
         if self.draining {
             return Some(reason::Refusal::Draining);
         }
@@ -76,7 +76,7 @@
             return Some(reason::Refusal::HopLimit);
         }
         if self.owner.is_open(head.endpoint) {
-            return self.is_out(head).then_some(reason::Refusal::AtBound);
+            return self.is_ejected(head).then_some(reason::Refusal::AtBound);
         }
         let is_owner = self.directory.owner(head.endpoint) == Some(self.settings.host.id);
         match is_owner {
@@ -86,7 +86,7 @@
     }
 
     /// Whether the endpoint failed its health checks while another may serve the request.
-    fn is_out(&self, head: &forward::Forward) -> bool {
+    fn is_ejected(&self, head: &forward::Forward) -> bool {
         let domain = self.settings.host.domain;
         let other = |id| id != head.endpoint && self.health.is_usable(id);
         !self.health.is_usable(head.endpoint)
@@ -94,18 +94,18 @@
     }
 
     /// Tells the waiting threads what to do.
-    pub(super) fn deliver(&mut self, effects: owner::Effects) {
+    pub(super) fn apply_owner_effects(&mut self, effects: owner::Effects) {
         for effect in effects {
             match effect {
                 owner::Effect::Dispatch(id) => self.dispatch(id),
-                owner::Effect::Queued { id, ahead } => self.queued(id, ahead),
+                owner::Effect::Queued { id, ahead } => self.mark_queued(id, ahead),
                 owner::Effect::Refuse {
                     id,
                     reason,
                     retry_after,
                 } => {
-                    if let Some(offered) = self.forget(id) {
-                        let _ = offered.tx.send(Verdict::Refuse {
+                    if let Some(offered) = self.remove_offer(id) {
+                        let _ = offered.tx.send(OfferDecision::Refuse {
                             reason,
                             retry_after,
                         });
@@ -115,13 +115,13 @@
         }
     }
 
-    fn queued(&mut self, id: owner::AttemptId, ahead: u32) {
+    fn mark_queued(&mut self, id: owner::AttemptId, ahead: u32) {
         let Some(offered) = self.offers.get_mut(&id) else {
             return;
         };
         offered.queued = true;
         self.metrics.enqueued();
-        let _ = offered.tx.send(Verdict::Queued { ahead });
+        let _ = offered.tx.send(OfferDecision::Queued { ahead });
     }
 
     fn dispatch(&mut self, id: owner::AttemptId) {
@@ -132,20 +132,20 @@
             self.metrics.dequeued();
         }
         let endpoint = self.directory.endpoint(offered.endpoint);
-        let verdict = match endpoint {
-            Some(endpoint) => Verdict::Dispatch {
+        let decision = match endpoint {
+            Some(endpoint) => OfferDecision::Dispatch {
                 addr: endpoint.addr,
             },
-            None => Verdict::Refuse {
+            None => OfferDecision::Refuse {
                 reason: reason::Refusal::NoEndpoint,
                 retry_after: None,
             },
         };
-        let _ = offered.tx.send(verdict);
+        let _ = offered.tx.send(decision);
     }
 
     /// Forgets work that was refused, taken back or finished.
-    pub(super) fn forget(&mut self, id: owner::AttemptId) -> Option<Offered> {
+    pub(super) fn remove_offer(&mut self, id: owner::AttemptId) -> Option<OfferedWork> {
         let offered = self.offers.remove(&id)?;
         if offered.queued {
             self.metrics.dequeued();
@@ -155,7 +155,7 @@
 }
 
 /// Estimated work of a request in the unit of its endpoint's load.
-fn load_of(head: &forward::Forward) -> u64 {
+fn estimate_load(head: &forward::Forward) -> u64 {
     match head.target {
         request::Target::Model(_) => work::of_tokens(head.prompt, head.cost - head.prompt),
         request::Target::Service(_) => work::SERVICE_CALL,
--- a/crates/runtime/src/control/peers.rs
+++ b/crates/runtime/src/control/peers.rs
@@ -10,7 +10,7 @@
 
 impl State {
     /// Takes a message of another host and answers it.
-    pub(super) fn message(
+    pub(super) fn handle_message(
         &mut self,
         now: time::Time,
         message: control::Message,
@@ -19,7 +19,7 @@
         let answer = match message {
             control::Message::Probe(probe) => {
                 let (answer, effects) = self.membership.handle_probe(now, &probe);
-                self.follow(now, effects);
+                self.apply_membership_effects(now, effects);
                 control::Message::Probe(answer)
             }
             control::Message::Lists { from, message } => {
@@ -27,7 +27,9 @@
                 control::Message::Received
             }
             control::Message::Received => control::Message::Received,
-            control::Message::Loads(report) => control::Message::Loads(self.reported(now, &report)),
+            control::Message::Loads(report) => {
+                control::Message::Loads(self.handle_report(now, &report))
+            }
         };
         if let Ok(answer) = codec::encode(&answer) {
             // The asking host may have gone meanwhile.
@@ -36,7 +38,7 @@
     }
 
     /// Takes the answer of another host to a message.
-    pub(super) fn answer(
+    pub(super) fn handle_answer(
         &mut self,
         now: time::Time,
         from: entity::HostId,
@@ -49,7 +51,7 @@
             }
             Ok(control::Message::Probe(probe)) => self.membership.handle_answer(now, &probe),
             Ok(control::Message::Loads(report)) if report.from == from => {
-                self.take_report(now, &report);
+                self.apply_report(now, &report);
                 return;
             }
             Ok(
@@ -62,7 +64,7 @@
                 self.membership.handle_probe_failure(now, from, refused)
             }
         };
-        self.follow(now, effects);
+        self.apply_membership_effects(now, effects);
     }
 
     pub(super) fn send(&self, to: entity::HostId, message: &control::Message) {
@@ -81,13 +83,17 @@
                 codec::decode_frame(&bytes).map_err(|_| link::CallError::Malformed)
             });
             if answer.is_ok() || is_probe {
-                handle.answer(to, answer);
+                handle.handle_answer(to, answer);
             }
         });
     }
 
     /// Does what the membership asks for.
-    pub(super) fn follow(&mut self, now: time::Time, effects: membership::Effects) {
+    pub(super) fn apply_membership_effects(
+        &mut self,
+        now: time::Time,
+        effects: membership::Effects,
+    ) {
         let mut changed = false;
         for effect in effects {
             match effect {
@@ -98,7 +104,7 @@
                     slog::info!(self.log, "host"; "peer" => %host, "usable" => usable);
                     self.refresh_host(host);
                     if !usable {
-                        self.host_gone(now, host);
+                        self.host_down(now, host);
                     }
                     changed = true;
                 }
@@ -118,7 +124,7 @@
         }
         if changed {
             self.refresh_replica(now);
-            self.assign(now);
+            self.reconcile_endpoints(now);
         }
     }
 
--- a/crates/runtime/src/control/replica.rs
+++ b/crates/runtime/src/control/replica.rs
@@ -32,7 +32,7 @@
                 effects
             }
         };
-        self.follow_replica(effects);
+        self.apply_replica_effects(effects);
     }
 
     /// Gives an event to the replica and does what it asks for.
@@ -44,10 +44,10 @@
             return;
         };
         let effects = event(replica);
-        self.follow_replica(effects);
+        self.apply_replica_effects(effects);
     }
 
-    fn follow_replica(&mut self, effects: Effects) {
+    fn apply_replica_effects(&mut self, effects: Effects) {
         for effect in effects {
             match effect {
                 Effect::Send(to, message) => {
@@ -60,7 +60,7 @@
                 }
                 Effect::Watch => self.order(sync::Order::Watch),
                 Effect::Unwatch => self.order(sync::Order::Unwatch),
-                Effect::InForce(version, lists) => self.put_in_force(version, lists),
+                Effect::InForce(version, lists) => self.apply_lists(version, lists),
                 Effect::Repair {
                     expected,
                     delta,
@@ -83,11 +83,11 @@
     }
 
     /// Takes the thread that calls the store.
-    pub(super) fn connect_store(&mut self, orders: sync::Orders) {
+    pub(super) fn set_store(&mut self, orders: sync::Orders) {
         self.store = Some(orders);
     }
 
-    fn put_in_force(&mut self, version: lists::Version, lists: Arc<lists::Lists>) {
+    fn apply_lists(&mut self, version: lists::Version, lists: Arc<lists::Lists>) {
         let keys = |(name, account): (&name::AccountName, &lists::Account)| {
             let pair = |digest: &lists::KeyDigest| (*digest, name.clone());
             account.key_digests.iter().map(pair).collect::<Vec<_>>()
--- a/crates/runtime/src/control/state.rs
+++ b/crates/runtime/src/control/state.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::control::command::Command;
-use crate::control::{Status, Verdict};
+use crate::control::{OfferDecision, Status};
 use crate::lists::sync;
 use crate::{clock, control, link, metrics, settings};
 
@@ -24,19 +24,19 @@
     pub(super) health: health::Health,
     /// Endpoints that this host takes over.
     pub(super) handovers: routing::handover::Handovers,
-    pub(super) pace: routing::pacer::ReportPacer,
+    pub(super) report_pacer: routing::pacer::ReportPacer,
     /// When the next load report is sent, if one is due.
     pub(super) report_at: Option<time::Time>,
     /// Whether the last report promised to report every further change at once.
-    pub(super) prompt: bool,
-    /// Threads that wait for a verdict on the work they offered.
-    pub(super) offers: HashMap<owner::AttemptId, Offered>,
+    pub(super) pushes_changes: bool,
+    /// Threads that wait for a decision on the work they offered.
+    pub(super) offers: HashMap<owner::AttemptId, OfferedWork>,
     pub(super) revision: revision::Revision,
     pub(super) lists: Option<Arc<lists::Lists>>,
     /// Accounts by the digests of their API keys. Rebuilt with the lists.
     pub(super) accounts: HashMap<lists::KeyDigest, name::AccountName>,
     /// Requests of callers in progress.
-    pub(super) arrived: HashMap<request::RequestId, name::AccountName>,
+    pub(super) in_progress: HashMap<request::RequestId, name::AccountName>,
     pub(super) draining: bool,
     budget: retry::Budget,
     pub(super) membership: membership::Membership,
@@ -49,15 +49,15 @@
     /// Thread that calls the store, once it is made.
     pub(super) store: Option<sync::Orders>,
     /// Models and services that endpoints serve, once the host list is known.
-    pub(super) catalog: Option<lists::verify::ServedTargets>,
+    pub(super) served_targets: Option<lists::verify::ServedTargets>,
 }
 
 /// Work that was offered and has not been refused.
-pub(super) struct Offered {
+pub(super) struct OfferedWork {
     pub endpoint: entity::EndpointId,
     /// Whether the work waits in the endpoint's queue.
     pub queued: bool,
-    pub tx: channel::Sender<Verdict>,
+    pub tx: channel::Sender<OfferDecision>,
 }
 
 impl State {
@@ -99,7 +99,7 @@
             links: None,
             replica: None,
             store: None,
-            catalog: None,
+            served_targets: None,
             settings,
             metrics,
             log,
@@ -107,14 +107,14 @@
             owner: owner::Owner::new(cfg),
             health: health::Health::new(health::Settings::default(), clock::now()),
             handovers: routing::handover::Handovers::default(),
-            pace: routing::pacer::ReportPacer::new(routing::pacer::Settings::default()),
+            report_pacer: routing::pacer::ReportPacer::new(routing::pacer::Settings::default()),
             report_at: None,
-            prompt: false,
+            pushes_changes: false,
             offers: HashMap::new(),
             revision: revision::Revision::NONE,
             lists: None,
             accounts: HashMap::new(),
-            arrived: HashMap::new(),
+            in_progress: HashMap::new(),
             draining: false,
             budget,
         }
@@ -122,25 +122,25 @@
 
     pub fn apply(&mut self, now: time::Time, command: Command) {
         match command {
-            Command::Arrive { request, call, tx } => {
-                let admitted = self.arrive(now, request, &call);
+            Command::Admit { request, call, tx } => {
+                let admitted = self.admit(now, request, &call);
                 let _ = tx.send(admitted);
             }
             Command::Models { key_digest, tx } => {
                 let _ = tx.send(self.models(&key_digest));
             }
-            Command::Depart(request) => {
-                self.arrived.remove(&request);
+            Command::EndRequest(request) => {
+                self.in_progress.remove(&request);
             }
-            Command::Retries {
+            Command::NewRetryState {
                 request,
                 repeat,
                 deadline,
                 tx,
             } => {
-                let _ = tx.send(self.retries(request, repeat, deadline));
+                let _ = tx.send(self.new_retry_state(request, repeat, deadline));
             }
-            Command::Failed {
+            Command::RecordFailure {
                 mut retries,
                 failure,
                 tx,
@@ -153,32 +153,32 @@
             }
             Command::Offer { head, tx } => self.offer(now, &head, tx),
             Command::Finish { endpoint, id, used } => {
-                self.forget(id);
+                self.remove_offer(id);
                 let effects = self.owner.finish(now, endpoint, id, used);
-                self.deliver(effects);
-                self.loads_changed(now);
+                self.apply_owner_effects(effects);
+                self.schedule_report(now);
             }
-            Command::Abandon { endpoint, id } => {
-                self.forget(id);
+            Command::Cancel { endpoint, id } => {
+                self.remove_offer(id);
                 if !self.owner.cancel(endpoint, id) {
                     // It was dispatched at the same moment, and nobody will run it.
                     let effects = self.owner.finish(now, endpoint, id, None);
-                    self.deliver(effects);
+                    self.apply_owner_effects(effects);
                 }
             }
-            Command::Sign(endpoint, sign) => {
-                let change = self.health.observe(now, endpoint, sign);
+            Command::ObserveHealth(endpoint, observation) => {
+                let change = self.health.observe(now, endpoint, observation);
                 self.log_health(change.as_slice());
             }
-            Command::Connect(links) => self.links = Some(links),
-            Command::Message { message, done } => self.message(now, message, done),
-            Command::Answer { from, answer } => self.answer(now, from, answer),
-            Command::HostList(list) => self.host_list(now, &list),
-            Command::ConnectStore(orders) => self.connect_store(orders),
+            Command::SetLinks(links) => self.links = Some(links),
+            Command::Message { message, done } => self.handle_message(now, message, done),
+            Command::Answer { from, answer } => self.handle_answer(now, from, answer),
+            Command::UpdateHostList(list) => self.update_host_list(now, &list),
+            Command::SetStore(orders) => self.set_store(orders),
             Command::StoreAnswer(answer) => {
                 self.with_replica(|replica| replica.handle_store_answer(now, answer))
             }
-            Command::Recorded(delta) => {
+            Command::RecordedDelta(delta) => {
                 self.with_replica(|replica| replica.handle_recorded_delta(now, delta))
             }
             Command::HighestVersion(tx) => {
@@ -188,8 +188,8 @@
                     .map(lists::replica::Replica::highest_version);
                 let _ = tx.send(highest.unwrap_or(lists::Version::NONE));
             }
-            Command::Catalog(tx) => {
-                let _ = tx.send(self.catalog.clone());
+            Command::ServedTargets(tx) => {
+                let _ = tx.send(self.served_targets.clone());
             }
             Command::ListsStatus { revision, tx } => self.lists_status(now, revision, &tx),
             Command::Status(tx) => {
@@ -203,9 +203,9 @@
     /// Does the timed work.
     pub fn tick(&mut self, now: time::Time) {
         let effects = self.owner.expire(now);
-        self.deliver(effects);
+        self.apply_owner_effects(effects);
         let effects = self.membership.tick(now);
-        self.follow(now, effects);
+        self.apply_membership_effects(now, effects);
         self.with_replica(|replica| replica.tick(now));
         self.tick_loads(now);
         let changes = self.health.tick(now);
@@ -219,7 +219,7 @@
         }
     }
 
-    fn retries(
+    fn new_retry_state(
         &mut self,
         request: request::RequestId,
         repeat: request::Idempotency,
@@ -234,26 +234,26 @@
         retry::RetryState::new(cfg, repeat, deadline, seed, &mut self.budget)
     }
 
-    fn host_list(&mut self, now: time::Time, list: &topology::HostList) {
+    fn update_host_list(&mut self, now: time::Time, list: &topology::HostList) {
         if !self.directory.update(list) {
             return;
         }
         slog::info!(self.log, "host list"; "version" => list.version,
             "hosts" => list.hosts.len(), "endpoints" => list.endpoints.len());
-        self.catalog = Some(lists::verify::ServedTargets::from_host_list(list));
+        self.served_targets = Some(lists::verify::ServedTargets::from_host_list(list));
         let effects = self.membership.apply_host_list(now, list);
-        self.follow(now, effects);
+        self.apply_membership_effects(now, effects);
         self.refresh_replica(now);
-        self.assign(now);
+        self.reconcile_endpoints(now);
     }
 
     fn drain(&mut self, now: time::Time) {
         self.draining = true;
         let effects = self.membership.leave();
-        self.follow(now, effects);
+        self.apply_membership_effects(now, effects);
         let open: Vec<_> = self.owner.open_ids().collect();
         for endpoint in open {
-            self.give_up(now, endpoint, reason::Refusal::Draining);
+            self.close_endpoint(now, endpoint, reason::Refusal::Draining);
         }
     }
 
@@ -265,7 +265,7 @@
             ready: known && self.lists.is_some() && !self.draining,
             draining: self.draining,
             revision: self.revision,
-            arrived: self.arrived.len(),
+            requests_in_progress: self.in_progress.len(),
             owned: self.owner.len(),
             open_endpoints: self.owner.open_count(),
             host_list: self.directory.version(),
--- a/crates/runtime/src/entry/serve.rs
+++ b/crates/runtime/src/entry/serve.rs
@@ -27,10 +27,10 @@
     pub fn run(self, answer: listener::Answer) {
         self.cx.metrics.started();
         let caller = Caller::new(self.cx, self.request, answer, self.call.arrived);
-        let outcome = match self.cx.control.arrive(self.request, &self.call) {
+        let outcome = match self.cx.control.admit(self.request, &self.call) {
             Ok(admitted) => {
                 let outcome = self.attempts(caller, &admitted);
-                self.cx.control.depart(self.request);
+                self.cx.control.end_request(self.request);
                 outcome
             }
             Err(refused) => caller.refuse(&self.not_admitted(refused)),
@@ -48,9 +48,9 @@
         let retries = self
             .cx
             .control
-            .retries(self.request, self.call.repeat, deadline);
+            .new_retry_state(self.request, self.call.repeat, deadline);
         let Some(mut retries) = retries else {
-            return caller.refuse(&self.not_admitted(control::Refused::stopped()));
+            return caller.refuse(&self.not_admitted(control::Refused::shutting_down()));
         };
         let mut assembler = answer::Assembler::new(self.request, self.call.stream);
         let mut hops = hops::Hops::new(&admitted.candidates);
@@ -70,8 +70,8 @@
                 Ok(()) => return outcome::Outcome::Run,
                 Err(failure) => failure,
             };
-            let Some((next, decision)) = self.cx.control.failed(retries, failure) else {
-                return caller.refuse(&self.not_admitted(control::Refused::stopped()));
+            let Some((next, decision)) = self.cx.control.record_failure(retries, failure) else {
+                return caller.refuse(&self.not_admitted(control::Refused::shutting_down()));
             };
             retries = next;
             match decision {
@@ -208,7 +208,7 @@
         reason: reason::Refusal::NoEndpoint,
         cause: reason::Refusal::NoEndpoint,
         outcome: retries.outcome(),
-        retry_after: Some(control::COME_BACK),
+        retry_after: Some(control::DEFAULT_RETRY_AFTER),
     }
 }
 
--- a/crates/runtime/src/host/mod.rs
+++ b/crates/runtime/src/host/mod.rs
@@ -103,7 +103,7 @@
 
     fn control(&self, message: Bytes, done: oneshot::Sender<Bytes>) {
         if let Ok(message) = codec::decode_frame(&message) {
-            self.control.message(message, done);
+            self.control.handle_message(message, done);
         }
     }
 }
@@ -140,10 +140,10 @@
             owner: Arc::clone(&owner),
         });
         let links = link::Links::start(link_config(&settings), sockets.links, messages)?;
-        control.handle().connect(links.sender());
+        control.handle().set_links(links.sender());
         let store = store::Store::new(key_value);
         let (lists, orders) = sync::Sync::start(store.clone(), control.handle(), log.clone())?;
-        control.handle().connect_store(orders);
+        control.handle().set_store(orders);
         // The replica starts with the first host list, and needs the store by then.
         let host_list =
             poll::HostListPoll::start(&settings.platform, control.handle(), log.clone())?;
--- a/crates/runtime/src/host/poll.rs
+++ b/crates/runtime/src/host/poll.rs
@@ -54,7 +54,7 @@
         match source.read() {
             Ok(list) => {
                 failing = false;
-                control.host_list(list);
+                control.update_host_list(list);
             }
             Err(e) => {
                 // The last list stays in use; an outage is logged once.
--- a/crates/runtime/src/lists/editor.rs
+++ b/crates/runtime/src/lists/editor.rs
@@ -44,12 +44,12 @@
         let author = storage::Author::Operator(operator);
         let mut edit = Edit::new(id, author, wall_clock::now_ms(), proposals, allowed)
             .with_highest_version(self.control.highest_version());
-        if let Some(catalog) = self.control.catalog() {
+        if let Some(catalog) = self.control.served_targets() {
             edit = edit.with_served_targets(catalog);
         }
         let outcome = self.steps(&mut edit);
         if let Outcome::Recorded(delta) = &outcome {
-            self.control.recorded(delta.clone());
+            self.control.handle_recorded_delta(delta.clone());
         }
         outcome
     }
--- a/crates/runtime/src/lists/sync.rs
+++ b/crates/runtime/src/lists/sync.rs
@@ -132,7 +132,7 @@
         match order {
             Order::Read(version) => {
                 let answer = self.read(version);
-                self.control.store_answer(answer);
+                self.control.handle_store_answer(answer);
             }
             Order::Watch => self.start_watch(),
             Order::Unwatch => self.unwatch(),
@@ -202,7 +202,7 @@
             }
             key_value::WatchEvent::Reset { .. } => {
                 let answer = self.read(lists::Version::NONE);
-                self.control.store_answer(answer);
+                self.control.handle_store_answer(answer);
             }
             key_value::WatchEvent::Progress(_) | key_value::WatchEvent::Lost(_) => {}
         }
@@ -214,7 +214,7 @@
             return;
         };
         match storage::read_record(&entry.key, &entry.value) {
-            Ok(record) => self.control.recorded(record.delta),
+            Ok(record) => self.control.handle_recorded_delta(record.delta),
             Err(e) => slog::error!(self.log, "edit cannot be read"; "error" => %e),
         }
     }
@@ -229,7 +229,7 @@
         slog::warn!(self.log, "store is behind and gets the lists back"; "was" => ?expected);
         // An answer that was lost is found by the next read.
         if self.store.repair(expected, lists, &record) == Ok(edit::CommitResult::Committed) {
-            self.control.recorded(delta);
+            self.control.handle_recorded_delta(delta);
         }
     }
 }
--- a/crates/runtime/src/owner/mod.rs
+++ b/crates/runtime/src/owner/mod.rs
@@ -99,11 +99,11 @@
     }
 
     fn run(self) {
-        let verdicts = self.control.offer(&self.head);
+        let decisions = self.control.offer(&self.head);
         let pieces = endpoint::Pieces::new(self.head.request, self.head.attempt, self.tx.clone());
-        match self.wait(&verdicts, &pieces) {
-            control::Verdict::Dispatch { addr } => self.call(addr, pieces),
-            control::Verdict::Refuse {
+        match self.wait(&decisions, &pieces) {
+            control::OfferDecision::Dispatch { addr } => self.call(addr, pieces),
+            control::OfferDecision::Refuse {
                 reason,
                 retry_after,
             } => {
@@ -114,26 +114,26 @@
                     retry_after,
                 });
             }
-            control::Verdict::Queued { .. } => {}
+            control::OfferDecision::Queued { .. } => {}
         }
     }
 
-    /// Waits for the verdict that ends the wait. Work whose caller went away is taken back.
+    /// Waits for the decision that ends the wait. Work whose caller went away is taken back.
     fn wait(
         &self,
-        verdicts: &channel::Receiver<control::Verdict>,
+        decisions: &channel::Receiver<control::OfferDecision>,
         pieces: &endpoint::Pieces,
-    ) -> control::Verdict {
+    ) -> control::OfferDecision {
         loop {
-            match verdicts.recv_timeout(CALLER_CHECK) {
-                Ok(control::Verdict::Queued { .. }) => {
+            match decisions.recv_timeout(CALLER_CHECK) {
+                Ok(control::OfferDecision::Queued { .. }) => {
                     let _ = pieces.reply(answer::Part::Queued);
                 }
-                Ok(verdict) => return verdict,
+                Ok(decision) => return decision,
                 Err(_) if self.control.has_ended() => return refusal(reason::Refusal::Draining),
                 Err(channel::RecvTimeoutError::Timeout) if !self.tx.is_closed() => {}
                 Err(_) => {
-                    self.control.abandon(self.head.endpoint, self.id());
+                    self.control.cancel(self.head.endpoint, self.id());
                     return refusal(reason::Refusal::CallerGone);
                 }
             }
@@ -196,7 +196,7 @@
         };
         let ended = call.run(&mut pieces);
         if let Some(sign) = sign_of(&ended) {
-            self.control.sign(self.head.endpoint, sign);
+            self.control.observe_health(self.head.endpoint, sign);
         }
         self.release(match ended {
             endpoint::Ended::Whole { used } => used,
@@ -236,8 +236,8 @@
     }
 }
 
-const fn refusal(reason: reason::Refusal) -> control::Verdict {
-    control::Verdict::Refuse {
+const fn refusal(reason: reason::Refusal) -> control::OfferDecision {
+    control::OfferDecision::Refuse {
         reason,
         retry_after: None,
     }
--- a/crates/runtime/tests/failure_hosts.rs
+++ b/crates/runtime/tests/failure_hosts.rs
@@ -62,7 +62,7 @@
             for host in &mut list.hosts {
                 host.addr = self.relays[&(domain, host.id)].addr();
             }
-            member.host.control().host_list(list);
+            member.host.control().update_host_list(list);
         }
     }
 
--- a/crates/runtime/tests/support/mod.rs
+++ b/crates/runtime/tests/support/mod.rs
@@ -223,7 +223,7 @@
     /// Gives every host the host list as it is now.
     pub fn announce(&self) {
         for member in &self.members {
-            member.host.control().host_list(self.list.clone());
+            member.host.control().update_host_list(self.list.clone());
         }
     }
 
@@ -244,7 +244,7 @@
         member.host.close();
         let sockets = host::Sockets::bind(&settings.listen).expect("the addresses are free");
         let host = start_host(settings.clone(), sockets);
-        host.control().host_list(self.list.clone());
+        host.control().update_host_list(self.list.clone());
         let member = Member {
             host,
             settings,
