--- a/crates/runtime/src/endpoint/events.rs
+++ b/crates/runtime/src/endpoint/events.rs
@@ -9,7 +9,7 @@
 const MAX_EVENT_LEN: u64 = 256 * 1024;
 
 /// Data of the event that ends an OpenAI-compatible stream.
-const DONE: &[u8] = b"[DONE]";
+const END_OF_STREAM_DATA: &[u8] = b"[DONE]";
 
 /// One whole event.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,11 +31,11 @@
 
 /// Reads whole events.
 #[derive(Debug)]
-pub struct Events<R> {
+pub struct EventReader<R> {
     reader: io::BufReader<R>,
 }
 
-impl<R> Events<R>
+impl<R> EventReader<R>
 where
     R: io::Read,
 {
@@ -54,7 +54,7 @@
             limited.read_until(b'\n', &mut bytes)?;
             let line = &bytes[start..];
             if !line.ends_with(b"\n") {
-                return cut(bytes.len());
+                return end_of_stream(bytes.len());
             }
             if !matches!(line, b"\n" | b"\r\n") {
                 continue;
@@ -67,7 +67,7 @@
     }
 }
 
-fn cut(len: usize) -> io::Result<Option<Event>> {
+fn end_of_stream(len: usize) -> io::Result<Option<Event>> {
     if len as u64 >= MAX_EVENT_LEN {
         return Err(io::Error::other("event exceeds its bound"));
     }
@@ -76,7 +76,7 @@
 
 fn event(bytes: Vec<u8>) -> Event {
     let id = field(&bytes, b"id").and_then(|id| std::str::from_utf8(id).ok()?.parse().ok());
-    let done = field(&bytes, b"data") == Some(DONE);
+    let done = field(&bytes, b"data") == Some(END_OF_STREAM_DATA);
     Event {
         bytes: bytes.into(),
         id,
--- a/crates/runtime/src/endpoint/mod.rs
+++ b/crates/runtime/src/endpoint/mod.rs
@@ -4,16 +4,16 @@
 //! passed on in pieces; a stream of events is cut at whole events only, so that a cut stream can
 //! be resumed at the engine after the last whole event.
 
+mod answer_sender;
 mod call;
 mod events;
-mod pieces;
 
 use std::time::Duration;
 
 use pistachiochute_core::{outcome, reason, units};
 
+pub use answer_sender::{AnswerSender, ReceiverClosed};
 pub use call::Call;
-pub use pieces::{Gone, Pieces};
 
 /// Header that tells the outcome of a request, on answers of endpoints and of the fleet.
 pub const OUTCOME_HEADER: &str = "x-outcome";
@@ -38,9 +38,9 @@
 
 /// How a call to an endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum CallResult {
     /// The whole answer was passed on.
-    Whole {
+    Complete {
         /// Tokens that the endpoint reports to have used.
         used: Option<units::Tokens>,
     },
--- a/crates/runtime/src/journal/mod.rs
+++ b/crates/runtime/src/journal/mod.rs
@@ -4,8 +4,8 @@
 //! so each is made on a thread of a small pool, which gives the answer back as an event. Threads
 //! that carry requests wait for the decision on their own attempt.
 
+mod reservation;
 mod store;
-mod wait;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,16 +19,16 @@
 use crate::platform::key_value;
 use crate::{clock, settings, thread_pool};
 
-pub use wait::{Decision, Permit, Reservation};
+pub use reservation::{Decision, Permit, Reservation};
 
 /// Calls to the key-value service at once.
 const STORE_THREADS: usize = 16;
 
 /// Commands that wait for the journal's thread.
-const COMMANDS: usize = 4_096;
+const COMMAND_BUFFER: usize = 4_096;
 
 /// Longest time between two looks at the clock.
-const TICK: Duration = Duration::from_secs(1);
+const MAX_TICK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Longest time that the outcomes of ended actions may take to be recorded when the host stops.
 const CLOSE_WAIT: Duration = Duration::from_secs(2);
@@ -66,7 +66,7 @@
         store: Arc<dyn key_value::KeyValue>,
     ) -> eyre::Result<Self> {
         let cfg = config(settings);
-        let (tx, rx) = channel::bounded(COMMANDS);
+        let (tx, rx) = channel::bounded(COMMAND_BUFFER);
         let pool = thread_pool::Pool::new("journal-store", STORE_THREADS);
         let worker = Worker {
             journal: journal::Journal::new(cfg),
@@ -126,7 +126,7 @@
     fn run(mut self, rx: &channel::Receiver<Command>) {
         let mut closing = None;
         while closing.is_none_or(|until| clock::now() < until && !self.journal.is_idle()) {
-            let event = match rx.recv_timeout(self.pause()) {
+            let event = match rx.recv_timeout(self.time_to_wakeup()) {
                 Ok(Command::Begin { begin, tx }) => {
                     self.waiting.insert(begin.attempt, tx);
                     journal::Event::Begin(begin)
@@ -139,17 +139,19 @@
                 }
                 Err(channel::RecvTimeoutError::Disconnected) => return,
             };
-            self.event(event);
+            self.handle_event(event);
         }
     }
 
     /// Time until the machine has to look at its clock.
-    fn pause(&self) -> Duration {
+    fn time_to_wakeup(&self) -> Duration {
         let due = self.journal.wakeup();
-        due.map_or(TICK, |due| due.since(clock::now()).min(TICK))
+        due.map_or(MAX_TICK_INTERVAL, |due| {
+            due.since(clock::now()).min(MAX_TICK_INTERVAL)
+        })
     }
 
-    fn event(&mut self, event: journal::Event) {
+    fn handle_event(&mut self, event: journal::Event) {
         if let journal::Event::Cancel(attempt) = &event {
             self.waiting.remove(attempt);
         }
@@ -174,7 +176,7 @@
 
     /// Makes a call on a thread of its own. A call for which there is none surely has no effect.
     fn call(&self, effect: journal::Effect) {
-        let unsent = store::unsent(&effect);
+        let not_sent = store::not_sent(&effect);
         let store = Arc::clone(&self.store);
         let tx = self.tx.clone();
         let call = move || {
@@ -183,7 +185,7 @@
             }
         };
         if self.pool.run(call).is_err()
-            && let Some(event) = unsent
+            && let Some(event) = not_sent
         {
             // The journal's own thread must not wait for room in its own channel.
             let tx = self.tx.clone();
--- a/crates/runtime/src/journal/wait.rs
+++ b/crates/runtime/src/journal/reservation.rs
@@ -9,7 +9,7 @@
 use crate::journal::{Command, Handle, wall_clock};
 
 /// Time between two looks at whether the caller is still there.
-const CALLER_CHECK: Duration = Duration::from_millis(100);
+const CALLER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What becomes of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,10 +43,10 @@
 
 impl Permit {
     /// Uses the permission up and records how the attempt ended.
-    pub fn close(self, result: journal::AttemptResult) {
+    pub fn record_result(self, result: journal::AttemptResult) {
         let attempt = self.attempt;
         self.handle
-            .event(journal::Event::Finished { attempt, result });
+            .send_event(journal::Event::Finished { attempt, result });
     }
 }
 
@@ -95,16 +95,16 @@
         F: Fn() -> bool,
     {
         loop {
-            match rx.recv_timeout(CALLER_CHECK) {
+            match rx.recv_timeout(CALLER_CHECK_INTERVAL) {
                 Ok(decision) => return Some(decision),
                 Err(channel::RecvTimeoutError::Disconnected) => return None,
                 Err(channel::RecvTimeoutError::Timeout) if wanted() => {}
                 Err(channel::RecvTimeoutError::Timeout) => {
-                    self.event(journal::Event::Cancel(attempt));
+                    self.send_event(journal::Event::Cancel(attempt));
                     // A decision that was made before the cancellation is used up here.
                     if let Ok(Decision::Dispatch { .. }) = rx.recv() {
                         let result = journal::AttemptResult::NotRun;
-                        self.event(journal::Event::Finished { attempt, result });
+                        self.send_event(journal::Event::Finished { attempt, result });
                     }
                     return None;
                 }
@@ -119,11 +119,11 @@
         if wall_clock() <= not_after {
             return Reservation::Permitted(permit);
         }
-        permit.close(journal::AttemptResult::NotRun);
+        permit.record_result(journal::AttemptResult::NotRun);
         Reservation::Dropped
     }
 
-    fn event(&self, event: journal::Event) {
+    fn send_event(&self, event: journal::Event) {
         // A journal that has ended records nothing more; repeats then get "unknown".
         let _ = self.tx.send(Command::Event(event));
     }
--- a/crates/runtime/src/journal/store.rs
+++ b/crates/runtime/src/journal/store.rs
@@ -16,7 +16,7 @@
 const PREFIX: &str = "journal/";
 
 /// Time for which one lease is put on the shards that are written.
-const LEASE_USE: Duration = Duration::from_secs(60);
+const LEASE_REUSE_PERIOD: Duration = Duration::from_secs(60);
 
 /// Time by which a lease outlives the shards beyond need.
 const LEASE_MARGIN: Duration = Duration::from_secs(60);
@@ -31,7 +31,7 @@
 }
 
 /// Event for a call that was not made.
-pub fn unsent(effect: &journal::Effect) -> Option<journal::Event> {
+pub fn not_sent(effect: &journal::Effect) -> Option<journal::Event> {
     match effect {
         journal::Effect::Read { call, .. } => Some(journal::Event::ReadFailed(*call)),
         journal::Effect::Swap { call, .. } => Some(journal::Event::SwapFailed(*call)),
@@ -42,10 +42,11 @@
 impl Store {
     /// Uses a key-value service.
     pub fn new(service: Arc<dyn key_value::KeyValue>, window: &journal::Window) -> Self {
-        let kept = window.retention_ms + window.ahead_ms + window.segment_ms + 2 * window.skew_ms;
+        let retained_ms =
+            window.retention_ms + window.ahead_ms + window.segment_ms + 2 * window.skew_ms;
         Self {
             service,
-            ttl: Duration::from_millis(kept) + LEASE_USE + LEASE_MARGIN,
+            ttl: Duration::from_millis(retained_ms) + LEASE_REUSE_PERIOD + LEASE_MARGIN,
             lease: Mutex::new(None),
         }
     }
@@ -66,7 +67,7 @@
 
     fn read(&self, call: journal::CallId, shard: journal::ShardId) -> journal::Event {
         let found = self.service.range(&key_value::Keys::One(key(shard)));
-        match found.ok().and_then(|found| stored(&found)) {
+        match found.ok().and_then(|found| decode_shard(&found)) {
             Some(stored) => journal::Event::Loaded { call, stored },
             None => journal::Event::ReadFailed(call),
         }
@@ -99,12 +100,12 @@
                 call,
                 revision: journal::ModRevision(committed.revision.0),
             },
-            Ok(committed) => match committed.ranges.first().and_then(stored) {
+            Ok(committed) => match committed.ranges.first().and_then(decode_shard) {
                 Some(stored) => journal::Event::Conflict { call, stored },
                 None => journal::Event::SwapUnknown(call),
             },
             Err(e) if e.had_no_effect() => {
-                self.forget_lease();
+                self.drop_lease();
                 journal::Event::SwapFailed(call)
             }
             Err(_) => journal::Event::SwapUnknown(call),
@@ -116,7 +117,7 @@
         let now = clock::now();
         let mut lease = self.lease.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((id, granted)) = *lease
-            && now.since(granted) < LEASE_USE
+            && now.since(granted) < LEASE_REUSE_PERIOD
         {
             return Some(id);
         }
@@ -126,7 +127,7 @@
     }
 
     /// Takes a new lease with the next swap, in case the service refused this one.
-    fn forget_lease(&self) {
+    fn drop_lease(&self) {
         *self.lease.lock().unwrap_or_else(PoisonError::into_inner) = None;
     }
 }
@@ -136,7 +137,7 @@
 }
 
 /// Content of the one shard that was read, or `None` if its value is not a shard.
-fn stored(found: &key_value::RangeResult) -> Option<journal::StoredShard> {
+fn decode_shard(found: &key_value::RangeResult) -> Option<journal::StoredShard> {
     let Some(entry) = found.entries.first() else {
         return Some(journal::StoredShard::default());
     };
--- a/crates/runtime/src/owner/mod.rs
+++ b/crates/runtime/src/owner/mod.rs
@@ -15,7 +15,7 @@
 use crate::{control, endpoint, journal, link, thread_pool};
 
 /// Time between two looks at whether the caller of queued work is still there.
-const CALLER_CHECK: Duration = Duration::from_millis(100);
+const CALLER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Serves forwarded requests for the endpoints that this host owns.
 #[derive(Debug)]
@@ -100,15 +100,16 @@
 
     fn run(self) {
         let decisions = self.control.offer(&self.head);
-        let pieces = endpoint::Pieces::new(self.head.request, self.head.attempt, self.tx.clone());
-        match self.wait(&decisions, &pieces) {
-            control::OfferDecision::Dispatch { addr } => self.call(addr, pieces),
+        let sender =
+            endpoint::AnswerSender::new(self.head.request, self.head.attempt, self.tx.clone());
+        match self.wait(&decisions, &sender) {
+            control::OfferDecision::Dispatch { addr } => self.call(addr, sender),
             control::OfferDecision::Refuse {
                 reason,
                 retry_after,
             } => {
                 let outcome = outcome::Outcome::NotRun;
-                let _ = pieces.reply(answer::Part::Failed {
+                let _ = sender.send(answer::Part::Failed {
                     reason,
                     outcome,
                     retry_after,
@@ -122,12 +123,12 @@
     fn wait(
         &self,
         decisions: &channel::Receiver<control::OfferDecision>,
-        pieces: &endpoint::Pieces,
+        sender: &endpoint::AnswerSender,
     ) -> control::OfferDecision {
         loop {
-            match decisions.recv_timeout(CALLER_CHECK) {
+            match decisions.recv_timeout(CALLER_CHECK_INTERVAL) {
                 Ok(control::OfferDecision::Queued { .. }) => {
-                    let _ = pieces.reply(answer::Part::Queued);
+                    let _ = sender.send(answer::Part::Queued);
                 }
                 Ok(decision) => return decision,
                 Err(_) if self.control.has_ended() => return refusal(reason::Refusal::Draining),
@@ -141,29 +142,29 @@
     }
 
     /// Calls the endpoint. An action with a key is dispatched only with a permit of the journal.
-    fn call(&self, addr: net::SocketAddr, mut pieces: endpoint::Pieces) {
+    fn call(&self, addr: net::SocketAddr, mut sender: endpoint::AnswerSender) {
         let action = self.head.idempotency == request::Idempotency::AtMostOnce;
         let Some(key) = self.head.idempotency_key.filter(|_| action) else {
-            let (ended, pieces) = self.dispatch(addr, pieces);
-            return reply(ended, pieces);
+            let (result, sender) = self.dispatch(addr, sender);
+            return send_result(result, sender);
         };
         let wanted = || !self.tx.is_closed();
         match self.journal.reserve(&self.head, key, &self.body, wanted) {
             journal::Reservation::Permitted(permit) => {
-                pieces.keep();
-                let (ended, pieces) = self.dispatch(addr, pieces);
-                permit.close(end_of(&ended, &pieces));
-                reply(ended, pieces);
+                sender.start_recording();
+                let (result, sender) = self.dispatch(addr, sender);
+                permit.record_result(attempt_result(&result, &sender));
+                send_result(result, sender);
             }
             journal::Reservation::Answer(answer) => {
-                self.release(None);
+                self.release_slot(None);
                 let _ = match answer {
-                    actions::Answer::Recorded(recorded) => pieces.replay(&recorded),
+                    actions::Answer::Recorded(recorded) => sender.replay(&recorded),
                     actions::Answer::Refused {
                         reason,
                         outcome,
                         retry_after,
-                    } => pieces.reply(answer::Part::Failed {
+                    } => sender.send(answer::Part::Failed {
                         reason,
                         outcome,
                         retry_after,
@@ -171,8 +172,8 @@
                 };
             }
             journal::Reservation::Dropped => {
-                self.release(None);
-                let _ = pieces.reply(answer::Part::Failed {
+                self.release_slot(None);
+                let _ = sender.send(answer::Part::Failed {
                     reason: reason::Refusal::Deadline,
                     outcome: outcome::Outcome::NotRun,
                     retry_after: None,
@@ -185,37 +186,37 @@
     fn dispatch(
         &self,
         addr: net::SocketAddr,
-        mut pieces: endpoint::Pieces,
-    ) -> (endpoint::Ended, endpoint::Pieces) {
-        let _ = pieces.reply(answer::Part::Dispatched);
+        mut sender: endpoint::AnswerSender,
+    ) -> (endpoint::CallResult, endpoint::AnswerSender) {
+        let _ = sender.send(answer::Part::Dispatched);
         let call = endpoint::Call {
             addr,
             head: &self.head,
             body: &self.body,
             timeouts: self.timeouts,
         };
-        let ended = call.run(&mut pieces);
-        if let Some(sign) = sign_of(&ended) {
-            self.control.observe_health(self.head.endpoint, sign);
+        let result = call.run(&mut sender);
+        if let Some(observation) = health_observation(&result) {
+            self.control.observe_health(self.head.endpoint, observation);
         }
-        self.release(match ended {
-            endpoint::Ended::Whole { used } => used,
-            endpoint::Ended::Failed(_) => None,
+        self.release_slot(match result {
+            endpoint::CallResult::Complete { used } => used,
+            endpoint::CallResult::Failed(_) => None,
         });
-        (ended, pieces)
+        (result, sender)
     }
 
     /// Gives the place at the endpoint back.
-    fn release(&self, used: Option<units::Tokens>) {
+    fn release_slot(&self, used: Option<units::Tokens>) {
         self.control.finish(self.head.endpoint, self.id(), used);
     }
 }
 
 /// Sends how the call ended.
-fn reply(ended: endpoint::Ended, pieces: endpoint::Pieces) {
-    let _ = match ended {
-        endpoint::Ended::Whole { used } => pieces.end(used),
-        endpoint::Ended::Failed(failure) => pieces.reply(answer::Part::Failed {
+fn send_result(result: endpoint::CallResult, sender: endpoint::AnswerSender) {
+    let _ = match result {
+        endpoint::CallResult::Complete { used } => sender.finish(used),
+        endpoint::CallResult::Failed(failure) => sender.send(answer::Part::Failed {
             reason: failure.reason,
             outcome: failure.outcome,
             retry_after: failure.retry_after,
@@ -224,15 +225,18 @@
 }
 
 /// How an action ended, for its record. An action whose answer is not whole may have run.
-fn end_of(ended: &endpoint::Ended, pieces: &endpoint::Pieces) -> actions::AttemptResult {
-    match ended {
-        endpoint::Ended::Whole { .. } => pieces
+fn attempt_result(
+    result: &endpoint::CallResult,
+    sender: &endpoint::AnswerSender,
+) -> actions::AttemptResult {
+    match result {
+        endpoint::CallResult::Complete { .. } => sender
             .recorded()
             .map_or(actions::AttemptResult::Unknown, actions::AttemptResult::Run),
-        endpoint::Ended::Failed(failure) if failure.outcome == outcome::Outcome::NotRun => {
+        endpoint::CallResult::Failed(failure) if failure.outcome == outcome::Outcome::NotRun => {
             actions::AttemptResult::NotRun
         }
-        endpoint::Ended::Failed(_) => actions::AttemptResult::Unknown,
+        endpoint::CallResult::Failed(_) => actions::AttemptResult::Unknown,
     }
 }
 
@@ -244,13 +248,13 @@
 }
 
 /// What the end of a call shows of the endpoint's health.
-fn sign_of(ended: &endpoint::Ended) -> Option<health::Observation> {
-    match ended {
-        endpoint::Ended::Failed(failure) => match failure.reason {
+fn health_observation(result: &endpoint::CallResult) -> Option<health::Observation> {
+    match result {
+        endpoint::CallResult::Failed(failure) => match failure.reason {
             reason::Refusal::ConnectFailed => Some(health::Observation::ConnectFailed),
             reason::Refusal::Stalled => Some(health::Observation::Stalled),
             _ => None,
         },
-        endpoint::Ended::Whole { .. } => Some(health::Observation::Completed),
+        endpoint::CallResult::Complete { .. } => Some(health::Observation::Completed),
     }
 }
