--- a/crates/runtime/src/entry/call.rs
+++ b/crates/runtime/src/entry/call.rs
@@ -24,9 +24,9 @@
     /// Whether the caller asked for a stream of events.
     pub stream: bool,
     /// Whether the request may be sent again after it may have run.
-    pub repeat: request::Idempotency,
+    pub idempotency: request::Idempotency,
     /// Idempotency key.
-    pub key: Option<uuid::Uuid>,
+    pub idempotency_key: Option<uuid::Uuid>,
     /// Estimated tokens of the prompt.
     pub prompt: units::Tokens,
     /// Longest answer that the caller asked for, in tokens.
--- a/crates/runtime/src/entry/hops.rs
+++ b/crates/runtime/src/entry/candidates.rs
@@ -5,11 +5,11 @@
 use crate::control;
 
 /// Candidates that are asked before the request waits at the first.
-const MAX_SPILL: usize = 3;
+const MAX_SPILL_CANDIDATES: usize = 3;
 
 /// A candidate, and whether the request may wait in its queue.
 #[derive(Clone, Copy, Debug)]
-pub struct Hop {
+pub struct Placement {
     /// The candidate.
     pub candidate: control::Candidate,
     /// Whether the request may wait there.
@@ -18,7 +18,7 @@
 
 /// Whether the reason tells of the owner rather than of its endpoint, which another host may own
 /// soon.
-pub const fn may_move(reason: reason::Retry) -> bool {
+pub const fn owner_may_change(reason: reason::Retry) -> bool {
     match reason {
         reason::Retry::NotOwner
         | reason::Retry::Draining
@@ -36,34 +36,34 @@
 
 /// Candidates in their order: each once without waiting, then again with waiting allowed.
 #[derive(Debug)]
-pub struct Hops<'a> {
+pub struct CandidateOrder<'a> {
     candidates: &'a [control::Candidate],
-    taken: usize,
+    next_index: usize,
 }
 
-impl<'a> Hops<'a> {
+impl<'a> CandidateOrder<'a> {
     pub fn new(candidates: &'a [control::Candidate]) -> Self {
         Self {
             candidates,
-            taken: 0,
+            next_index: 0,
         }
     }
 }
 
-impl Iterator for Hops<'_> {
-    type Item = Hop;
+impl Iterator for CandidateOrder<'_> {
+    type Item = Placement;
 
-    fn next(&mut self) -> Option<Hop> {
-        let spills = self.candidates.len().min(MAX_SPILL);
-        let may_queue = self.taken >= spills;
+    fn next(&mut self) -> Option<Placement> {
+        let spill_count = self.candidates.len().min(MAX_SPILL_CANDIDATES);
+        let may_queue = self.next_index >= spill_count;
         let index = if may_queue {
-            self.taken - spills
+            self.next_index - spill_count
         } else {
-            self.taken
+            self.next_index
         };
-        self.taken += 1;
+        self.next_index += 1;
         let candidate = *self.candidates.get(index)?;
-        Some(Hop {
+        Some(Placement {
             candidate,
             may_queue,
         })
--- a/crates/runtime/src/entry/mod.rs
+++ b/crates/runtime/src/entry/mod.rs
@@ -5,7 +5,7 @@
 //! writes the answer or the refusal.
 
 pub mod call;
-mod hops;
+mod candidates;
 mod parse;
 mod respond;
 mod serve;
@@ -42,10 +42,10 @@
             }
             (&http::Method::GET, "/readyz") => self.ready(answer),
             (&http::Method::GET, "/v1/models") => self.models(&req, request, answer),
-            _ => match parse::call(req, &self.settings.bounds, clock::now()) {
+            _ => match parse::parse_call(req, &self.settings.bounds, clock::now()) {
                 Ok(call) => serve::Exchange::new(self, request, call).run(answer),
-                Err(fault) => {
-                    respond::refuse(self, answer, &respond::Refused::parse(request, fault));
+                Err(error) => {
+                    respond::refuse(self, answer, &respond::Refused::invalid(request, error));
                 }
             },
         }
@@ -64,10 +64,10 @@
         request: request::RequestId,
         answer: listener::Answer,
     ) {
-        let refused = |fault| respond::Refused::parse(request, fault);
+        let refused = |error| respond::Refused::invalid(request, error);
         let key_digest = match parse::key_digest(req) {
             Ok(key_digest) => key_digest,
-            Err(fault) => return respond::refuse(self, answer, &refused(fault)),
+            Err(error) => return respond::refuse(self, answer, &refused(error)),
         };
         match self.control.models(key_digest) {
             Ok(models) => respond::models(answer, request, &models),
@@ -93,5 +93,5 @@
 /// Answer to a connection for which the host has no place.
 #[must_use]
 pub fn busy_answer() -> bytes::Bytes {
-    respond::raw(&respond::Refused::busy(new_request_id()))
+    respond::raw_refusal(&respond::Refused::busy(new_request_id()))
 }
--- a/crates/runtime/src/entry/parse.rs
+++ b/crates/runtime/src/entry/parse.rs
@@ -24,14 +24,14 @@
 
 /// Why a request was refused before it was routed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct RequestError {
     /// Reason code.
     pub reason: reason::Refusal,
     /// What is wrong, for the caller.
     pub message: String,
 }
 
-impl Fault {
+impl RequestError {
     fn new<M>(reason: reason::Refusal, message: M) -> Self
     where
         M: Into<String>,
@@ -44,11 +44,11 @@
 }
 
 /// Checks a request.
-pub fn call(
+pub fn parse_call(
     mut req: listener::Request,
     bounds: &settings::Bounds,
     arrived: time::Time,
-) -> Result<call::Call, Fault> {
+) -> Result<call::Call, RequestError> {
     check_headers(&req, bounds)?;
     let key_digest = key_digest(&req)?;
     let route = route(&req)?;
@@ -67,8 +67,8 @@
                 body,
                 chat: Some(header(&req, CHAT_HEADER)).filter(|chat| !chat.is_empty()),
                 stream: false,
-                repeat: repeat_of(method),
-                key,
+                idempotency: idempotency_of(method),
+                idempotency_key: key,
                 prompt,
                 longest_answer: Some(units::Tokens::ZERO),
                 arrived,
@@ -86,14 +86,14 @@
     },
 }
 
-const fn repeat_of(method: forward::Method) -> request::Idempotency {
+const fn idempotency_of(method: forward::Method) -> request::Idempotency {
     match method {
         forward::Method::Get => request::Idempotency::Idempotent,
         forward::Method::Post => request::Idempotency::AtMostOnce,
     }
 }
 
-fn route(req: &listener::Request) -> Result<Route, Fault> {
+fn route(req: &listener::Request) -> Result<Route, RequestError> {
     let method = match req.head.method {
         http::Method::GET => Some(forward::Method::Get),
         http::Method::POST => Some(forward::Method::Post),
@@ -101,7 +101,7 @@
     };
     let wrong_method = || {
         let message = format!("{} does not take {}", req.path(), req.head.method);
-        Fault::new(reason::Refusal::MethodNotAllowed, message)
+        RequestError::new(reason::Refusal::MethodNotAllowed, message)
     };
     if req.path() == CHAT_PATH {
         return match method {
@@ -111,12 +111,12 @@
     }
     let Some(rest) = req.target().strip_prefix(SERVICES_PATH) else {
         let message = format!("no such path: {}", req.path());
-        return Err(Fault::new(reason::Refusal::NotFound, message));
+        return Err(RequestError::new(reason::Refusal::NotFound, message));
     };
     let (service, rest) = rest.split_once('/').unwrap_or((rest, ""));
-    let name = service
-        .parse()
-        .map_err(|e: name::ParseNameError| Fault::new(reason::Refusal::NotFound, e.to_string()))?;
+    let name = service.parse().map_err(|e: name::ParseNameError| {
+        RequestError::new(reason::Refusal::NotFound, e.to_string())
+    })?;
     let path = Bytes::from(format!("/{rest}"));
     Ok(Route::Service {
         name,
@@ -125,7 +125,7 @@
     })
 }
 
-fn check_headers(req: &listener::Request, bounds: &settings::Bounds) -> Result<(), Fault> {
+fn check_headers(req: &listener::Request, bounds: &settings::Bounds) -> Result<(), RequestError> {
     let fields = req.head.headers.iter();
     let len: usize = fields
         .map(|(name, value)| name.as_str().len() + value.len())
@@ -133,7 +133,7 @@
     let len = (len + req.target().len()) as u64;
     if len > bounds.header.0 {
         let message = format!("headers of {len} bytes exceed {} bytes", bounds.header);
-        return Err(Fault::new(reason::Refusal::HeadersTooLarge, message));
+        return Err(RequestError::new(reason::Refusal::HeadersTooLarge, message));
     }
     Ok(())
 }
@@ -144,19 +144,19 @@
 }
 
 /// Digest of the key that the request carries.
-pub fn key_digest(req: &listener::Request) -> Result<lists::KeyDigest, Fault> {
+pub fn key_digest(req: &listener::Request) -> Result<lists::KeyDigest, RequestError> {
     let value = header(req, "authorization");
     let key = value.strip_prefix(b"Bearer ").map(<[u8]>::trim_ascii);
     match key {
         Some(key) if !key.is_empty() => Ok(lists::KeyDigest::of(key)),
         _ => {
             let message = "the request needs a header `Authorization: Bearer KEY`";
-            Err(Fault::new(reason::Refusal::Unauthorized, message))
+            Err(RequestError::new(reason::Refusal::Unauthorized, message))
         }
     }
 }
 
-fn idempotency_key(req: &listener::Request) -> Result<Option<uuid::Uuid>, Fault> {
+fn idempotency_key(req: &listener::Request) -> Result<Option<uuid::Uuid>, RequestError> {
     let value = header(req, KEY_HEADER);
     if value.is_empty() {
         return Ok(None);
@@ -164,7 +164,7 @@
     let key = uuid::Uuid::try_parse_ascii(&value).ok();
     let key = key.filter(|key| key.get_version() == Some(uuid::Version::SortRand));
     let invalid = || {
-        Fault::new(
+        RequestError::new(
             reason::Refusal::KeyInvalid,
             "the idempotency key is not a UUIDv7",
         )
@@ -173,11 +173,14 @@
 }
 
 /// The body, if it came whole and within its bound.
-fn take_body(req: &mut listener::Request, bounds: &settings::Bounds) -> Result<Bytes, Fault> {
+fn take_body(
+    req: &mut listener::Request,
+    bounds: &settings::Bounds,
+) -> Result<Bytes, RequestError> {
     let body = std::mem::replace(&mut req.body, Ok(Bytes::new()));
-    body.map_err(|fault| {
-        let (reason, message) = fault.refusal(bounds.body.0);
-        Fault { reason, message }
+    body.map_err(|error| {
+        let (reason, message) = error.refusal(bounds.body.0);
+        RequestError { reason, message }
     })
 }
 
@@ -198,13 +201,13 @@
     body: Bytes,
     bounds: &settings::Bounds,
     arrived: time::Time,
-) -> Result<call::Call, Fault> {
+) -> Result<call::Call, RequestError> {
     check_depth(&body, bounds.json_depth)?;
     let chat: ChatBody = serde_json::from_slice(&body)
-        .map_err(|e| Fault::new(reason::Refusal::BadRequest, format!("the body: {e}")))?;
+        .map_err(|e| RequestError::new(reason::Refusal::BadRequest, format!("the body: {e}")))?;
     let named = header(req, CHAT_HEADER);
     let name = if named.is_empty() {
-        start_of_chat(&chat.messages)
+        derive_chat_id(&chat.messages)
     } else {
         named
     };
@@ -216,8 +219,8 @@
         content_type: Bytes::from_static(b"application/json"),
         chat: Some(name),
         stream: chat.stream,
-        repeat: request::Idempotency::Idempotent,
-        key: None,
+        idempotency: request::Idempotency::Idempotent,
+        idempotency_key: None,
         prompt: units::Tokens(body.len() as u64 / BYTES_PER_TOKEN),
         longest_answer: chat
             .max_completion_tokens
@@ -230,7 +233,7 @@
 
 /// A chat without a name is told by its messages up to the first of the user, which are the same
 /// each time it returns.
-fn start_of_chat(messages: &[serde_json::Value]) -> Bytes {
+fn derive_chat_id(messages: &[serde_json::Value]) -> Bytes {
     let is_user = |message: &serde_json::Value| message["role"] == "user";
     let end = messages
         .iter()
@@ -241,7 +244,7 @@
 }
 
 /// Refuses a body that is nested deeper than the bound, before it is parsed.
-fn check_depth(body: &[u8], limit: u32) -> Result<(), Fault> {
+fn check_depth(body: &[u8], limit: u32) -> Result<(), RequestError> {
     let mut depth = 0_u32;
     let mut in_string = false;
     let mut escaped = false;
@@ -263,7 +266,7 @@
         }
         if depth > limit {
             let message = format!("the body is nested deeper than {limit} levels");
-            return Err(Fault::new(reason::Refusal::JsonTooDeep, message));
+            return Err(RequestError::new(reason::Refusal::JsonTooDeep, message));
         }
     }
     Ok(())
--- a/crates/runtime/src/entry/respond.rs
+++ b/crates/runtime/src/entry/respond.rs
@@ -27,13 +27,13 @@
 
 impl Refused {
     /// A request that was refused when it was read.
-    pub fn parse(request: request::RequestId, fault: parse::Fault) -> Self {
+    pub fn invalid(request: request::RequestId, error: parse::RequestError) -> Self {
         Self {
             request,
-            reason: fault.reason,
+            reason: error.reason,
             outcome: outcome::Outcome::NotRun,
             retry_after: None,
-            message: fault.message,
+            message: error.message,
         }
     }
 
@@ -124,7 +124,7 @@
 }
 
 /// Counts and logs a refusal.
-pub fn count(cx: &entry::Context, refused: &Refused) {
+pub fn record_refusal(cx: &entry::Context, refused: &Refused) {
     cx.metrics.refused(refused.reason);
     slog::info!(cx.log, "refused";
         "request" => %refused.request, "reason" => %refused.reason,
@@ -132,7 +132,7 @@
 }
 
 /// A refusal as the bytes of an answer that ends its connection.
-pub fn raw(refused: &Refused) -> Bytes {
+pub fn raw_refusal(refused: &Refused) -> Bytes {
     let body = refused.body();
     let status = status_of(refused.reason.status());
     let head = format!(
@@ -147,7 +147,7 @@
 
 /// Answers with a refusal.
 pub fn refuse(cx: &entry::Context, answer: Answer, refused: &Refused) {
-    count(cx, refused);
+    record_refusal(cx, refused);
     let mut response = json(status_of(refused.reason.status()), refused.body());
     set_outcome(&mut response, refused.request, refused.outcome);
     if let Some(delay) = refused.retry_after {
@@ -160,7 +160,7 @@
 }
 
 /// Answers with a whole answer of an endpoint.
-pub fn whole(
+pub fn complete(
     answer: Answer,
     request: request::RequestId,
     head: &answer::Head,
--- a/crates/runtime/src/entry/serve.rs
+++ b/crates/runtime/src/entry/serve.rs
@@ -8,7 +8,7 @@
 use pistachiochute_messages::{codec, forward};
 use tokio::sync::mpsc;
 
-use crate::entry::{call, hops, respond};
+use crate::entry::{call, candidates, respond};
 use crate::{clock, control, entry, link, listener};
 
 /// One request of a caller.
@@ -29,7 +29,7 @@
         let caller = Caller::new(self.cx, self.request, answer, self.call.arrived);
         let outcome = match self.cx.control.admit(self.request, &self.call) {
             Ok(admitted) => {
-                let outcome = self.attempts(caller, &admitted);
+                let outcome = self.run_attempts(caller, &admitted);
                 self.cx.control.end_request(self.request);
                 outcome
             }
@@ -43,24 +43,28 @@
     }
 
     /// Makes attempts until the caller has an answer or a refusal, and returns the outcome.
-    fn attempts(&self, mut caller: Caller<'_>, admitted: &control::Admitted) -> outcome::Outcome {
+    fn run_attempts(
+        &self,
+        mut caller: Caller<'_>,
+        admitted: &control::Admitted,
+    ) -> outcome::Outcome {
         let deadline = self.call.arrived + self.cx.settings.timeouts.request;
-        let retries = self
-            .cx
-            .control
-            .new_retry_state(self.request, self.call.repeat, deadline);
+        let retries =
+            self.cx
+                .control
+                .new_retry_state(self.request, self.call.idempotency, deadline);
         let Some(mut retries) = retries else {
             return caller.refuse(&self.not_admitted(control::Refused::shutting_down()));
         };
         let mut assembler = answer::Assembler::new(self.request, self.call.stream);
-        let mut hops = hops::Hops::new(&admitted.candidates);
-        let mut hop = hops.next();
+        let mut order = candidates::CandidateOrder::new(&admitted.candidates);
+        let mut placement = order.next();
         loop {
             let attempt = match retries.start_attempt(clock::now()) {
                 Ok(attempt) => attempt,
                 Err(given_up) => return self.give_up(caller, given_up),
             };
-            let Some(current) = hop else {
+            let Some(current) = placement else {
                 return self.give_up(caller, no_endpoint(&retries));
             };
             let mut head = self.head(admitted, current, attempt);
@@ -79,7 +83,7 @@
                 retry::Decision::Retry { reason, at } => {
                     self.cx.metrics.retried(reason);
                     sleep_until(at);
-                    hop = self.next_hop(&mut hops, current, reason);
+                    placement = self.next_placement(&mut order, current, reason);
                 }
             }
         }
@@ -89,53 +93,65 @@
     ///
     /// After the last candidate, the endpoint that failed is asked again if it may have another
     /// owner since.
-    fn next_hop(
+    fn next_placement(
         &self,
-        hops: &mut hops::Hops<'_>,
-        current: hops::Hop,
+        order: &mut candidates::CandidateOrder<'_>,
+        current: candidates::Placement,
         reason: reason::Retry,
-    ) -> Option<hops::Hop> {
-        let again = || {
-            self.locate(hops::Hop {
+    ) -> Option<candidates::Placement> {
+        let same_endpoint = || {
+            self.locate(candidates::Placement {
                 may_queue: true,
                 ..current
             })
         };
         match reason {
-            reason::Retry::Resume => again(),
-            _ => hops
-                .find_map(|hop| self.locate(hop))
-                .or_else(|| hops::may_move(reason).then(again).flatten()),
+            reason::Retry::Resume => same_endpoint(),
+            _ => order
+                .find_map(|placement| self.locate(placement))
+                .or_else(|| {
+                    candidates::owner_may_change(reason)
+                        .then(same_endpoint)
+                        .flatten()
+                }),
         }
     }
 
-    fn locate(&self, hop: hops::Hop) -> Option<hops::Hop> {
-        let candidate = self.cx.control.locate(hop.candidate.endpoint)?;
-        Some(hops::Hop { candidate, ..hop })
+    fn locate(&self, placement: candidates::Placement) -> Option<candidates::Placement> {
+        let candidate = self.cx.control.locate(placement.candidate.endpoint)?;
+        Some(candidates::Placement {
+            candidate,
+            ..placement
+        })
     }
 
     fn give_up(&self, caller: Caller<'_>, given_up: retry::GivenUp) -> outcome::Outcome {
         caller.refuse(&respond::Refused::given_up(self.request, given_up))
     }
 
-    fn head(&self, admitted: &control::Admitted, hop: hops::Hop, attempt: u8) -> forward::Forward {
+    fn head(
+        &self,
+        admitted: &control::Admitted,
+        placement: candidates::Placement,
+        attempt: u8,
+    ) -> forward::Forward {
         forward::Forward {
             request: self.request,
             attempt,
             hops: 1,
             from: self.cx.settings.host.id,
-            endpoint: hop.candidate.endpoint,
+            endpoint: placement.candidate.endpoint,
             account: admitted.account.clone(),
             weight: admitted.weight,
             priority: admitted.priority,
             target: self.call.target.clone(),
             chat: admitted.chat,
-            idempotency: self.call.repeat,
-            idempotency_key: self.call.key,
+            idempotency: self.call.idempotency,
+            idempotency_key: self.call.idempotency_key,
             cost: admitted.cost,
             prompt: self.call.prompt,
             remaining: Duration::ZERO,
-            may_queue: hop.may_queue,
+            may_queue: placement.may_queue,
             resume_after: None,
             stream: self.call.stream,
             method: self.call.method,
@@ -152,10 +168,10 @@
         &self,
         caller: &mut Caller<'_>,
         assembler: &mut answer::Assembler,
-        hop: hops::Hop,
+        placement: candidates::Placement,
         head: forward::Forward,
     ) -> Result<(), retry::Failure> {
-        let Some(mut replies) = self.send(hop, head) else {
+        let Some(mut replies) = self.send(placement, head) else {
             return Err(assembler.fail_attempt(reason::Refusal::Internal));
         };
         loop {
@@ -193,9 +209,9 @@
     }
 
     /// Sends the request to the owner, which may be this host itself. `None` if it is too large.
-    fn send(&self, hop: hops::Hop, head: forward::Forward) -> Option<Replies> {
+    fn send(&self, placement: candidates::Placement, head: forward::Forward) -> Option<Replies> {
         let body = self.call.body.clone();
-        let Some(addr) = hop.candidate.addr else {
+        let Some(addr) = placement.candidate.addr else {
             return Some(Replies::Local(self.cx.owner.serve_local(head, body)));
         };
         let head = codec::encode(&head).ok()?;
@@ -250,7 +266,7 @@
     request: request::RequestId,
     state: State,
     /// When the last piece was written, or the request arrived.
-    last: time::Time,
+    last_write: time::Time,
 }
 
 impl<'a> Caller<'a> {
@@ -264,22 +280,22 @@
             cx,
             request,
             state: State::Waiting(answer),
-            last: arrived,
+            last_write: arrived,
         }
     }
 
     /// Writes a part of the answer.
     fn deliver(&mut self, delivery: answer::Delivery) -> Result<(), listener::Disconnected> {
         let now = clock::now();
-        let span = now.since(self.last);
-        self.last = now;
+        let elapsed = now.since(self.last_write);
+        self.last_write = now;
         self.state = match std::mem::replace(&mut self.state, State::Done) {
             State::Waiting(answer) => {
-                self.cx.metrics.first_token(span);
-                self.first(answer, &delivery)?
+                self.cx.metrics.first_token(elapsed);
+                self.begin_answer(answer, &delivery)?
             }
             State::Streaming(stream) => {
-                self.cx.metrics.token_gap(span);
+                self.cx.metrics.token_gap(elapsed);
                 write_all(&stream, &delivery.data)?;
                 State::Streaming(stream)
             }
@@ -293,15 +309,15 @@
         Ok(())
     }
 
-    fn first(
+    fn begin_answer(
         &self,
         answer: listener::Answer,
         delivery: &answer::Delivery,
     ) -> Result<State, listener::Disconnected> {
         let head = delivery.head.as_ref().expect("the first part has the head");
         if delivery.end {
-            let body = join(&delivery.data);
-            respond::whole(answer, self.request, head, body)?;
+            let body = concat(&delivery.data);
+            respond::complete(answer, self.request, head, body)?;
             return Ok(State::Done);
         }
         let stream = respond::stream(answer, self.request, head)?;
@@ -314,10 +330,10 @@
         match self.state {
             State::Waiting(answer) => respond::refuse(self.cx, answer, refused),
             State::Streaming(stream) => {
-                respond::count(self.cx, refused);
+                respond::record_refusal(self.cx, refused);
                 respond::abort(stream, refused);
             }
-            State::Done => respond::count(self.cx, refused),
+            State::Done => respond::record_refusal(self.cx, refused),
         }
         refused.outcome
     }
@@ -328,7 +344,7 @@
         .try_for_each(|piece| stream.send_chunk(piece.clone()))
 }
 
-fn join(data: &[Bytes]) -> Bytes {
+fn concat(data: &[Bytes]) -> Bytes {
     let mut body = BytesMut::with_capacity(data.iter().map(Bytes::len).sum());
     data.iter().for_each(|piece| body.extend_from_slice(piece));
     body.freeze()
