--- a/crates/cli/src/demo/fleet.rs
+++ b/crates/cli/src/demo/fleet.rs
@@ -156,7 +156,7 @@
     }
 
     /// Stops a host as planned and returns how its drain ended, or `None` if it was stopped.
-    pub(super) fn stop(&mut self, number: usize) -> Option<host::Drained> {
+    pub(super) fn stop(&mut self, number: usize) -> Option<host::DrainResult> {
         let host = self.members[number].host.take()?;
         let drained = host.drain();
         host.close();
--- a/crates/cli/src/demo/scenes.rs
+++ b/crates/cli/src/demo/scenes.rs
@@ -233,7 +233,7 @@
         client.chat("chat-0", &body(0, TURNS + 4, 4 * STREAMED_TOKENS, true))
     });
     thread::sleep(fleet::TOKEN_TIME * STREAMED_TOKENS as u32);
-    let drained = fleet.stop(number) == Some(host::Drained::Whole);
+    let drained = fleet.stop(number) == Some(host::DrainResult::Complete);
     let whole = streaming.join().is_ok_and(|reply| reply.is_whole());
     let meanwhile = send(fleet, 0, 0, &body(0, TURNS + 4, 8, false)).is_whole();
     let restarted = fleet.restart(number).is_ok();
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -105,11 +105,11 @@
     let drained = host.drain();
     host.close();
     let code = match drained {
-        host::Drained::Whole => {
+        host::DrainResult::Complete => {
             slog::info!(logger, "stopped");
             process::ExitCode::SUCCESS
         }
-        host::Drained::TimedOut(left) => {
+        host::DrainResult::TimedOut(left) => {
             slog::error!(logger, "requests cut off"; "requests" => left);
             process::ExitCode::from(FAILED)
         }
--- a/crates/runtime/src/control/command.rs
+++ b/crates/runtime/src/control/command.rs
@@ -27,7 +27,7 @@
     },
     NewRetryState {
         request: request::RequestId,
-        repeat: request::Idempotency,
+        idempotency: request::Idempotency,
         deadline: time::Time,
         tx: channel::Sender<retry::RetryState>,
     },
@@ -66,7 +66,7 @@
     },
     UpdateHostList(topology::HostList),
     /// Gives the control thread the thread that calls the store.
-    SetStore(sync::Orders),
+    SetStore(sync::StoreSender),
     StoreAnswer(lists::replica::StoreAnswer),
     RecordedDelta(lists::Delta),
     HighestVersion(channel::Sender<lists::Version>),
--- a/crates/runtime/src/control/handle.rs
+++ b/crates/runtime/src/control/handle.rs
@@ -77,12 +77,12 @@
     pub fn new_retry_state(
         &self,
         request: request::RequestId,
-        repeat: request::Idempotency,
+        idempotency: request::Idempotency,
         deadline: time::Time,
     ) -> Option<retry::RetryState> {
         self.request(|tx| Command::NewRetryState {
             request,
-            repeat,
+            idempotency,
             deadline,
             tx,
         })
@@ -166,8 +166,8 @@
     }
 
     /// Gives the control thread the thread that calls the store.
-    pub fn set_store(&self, orders: sync::Orders) {
-        self.send(Command::SetStore(orders));
+    pub fn set_store(&self, store: sync::StoreSender) {
+        self.send(Command::SetStore(store));
     }
 
     /// Takes the answer to an order to read the store.
--- a/crates/runtime/src/control/replica.rs
+++ b/crates/runtime/src/control/replica.rs
@@ -56,17 +56,19 @@
                 }
                 Effect::ReadStore => {
                     let version = self.replica.as_ref().map(Replica::version);
-                    self.order(sync::Order::Read(version.unwrap_or(lists::Version::NONE)));
+                    self.send_store_command(sync::StoreCommand::Read(
+                        version.unwrap_or(lists::Version::NONE),
+                    ));
                 }
-                Effect::Watch => self.order(sync::Order::Watch),
-                Effect::Unwatch => self.order(sync::Order::Unwatch),
+                Effect::Watch => self.send_store_command(sync::StoreCommand::Watch),
+                Effect::Unwatch => self.send_store_command(sync::StoreCommand::Unwatch),
                 Effect::InForce(version, lists) => self.apply_lists(version, lists),
                 Effect::Repair {
                     expected,
                     delta,
                     lists,
                 } => {
-                    self.order(sync::Order::Repair {
+                    self.send_store_command(sync::StoreCommand::Repair {
                         expected,
                         delta,
                         lists,
@@ -76,15 +78,15 @@
         }
     }
 
-    fn order(&self, order: sync::Order) {
-        if let Some(orders) = &self.store {
-            orders.give(order);
+    fn send_store_command(&self, command: sync::StoreCommand) {
+        if let Some(store) = &self.store {
+            store.send(command);
         }
     }
 
     /// Takes the thread that calls the store.
-    pub(super) fn set_store(&mut self, orders: sync::Orders) {
-        self.store = Some(orders);
+    pub(super) fn set_store(&mut self, store: sync::StoreSender) {
+        self.store = Some(store);
     }
 
     fn apply_lists(&mut self, version: lists::Version, lists: Arc<lists::Lists>) {
--- a/crates/runtime/src/control/state.rs
+++ b/crates/runtime/src/control/state.rs
@@ -47,7 +47,7 @@
     /// The host's copy of the lists, once the hosts are known.
     pub(super) replica: Option<lists::replica::Replica>,
     /// Thread that calls the store, once it is made.
-    pub(super) store: Option<sync::Orders>,
+    pub(super) store: Option<sync::StoreSender>,
     /// Models and services that endpoints serve, once the host list is known.
     pub(super) served_targets: Option<lists::verify::ServedTargets>,
 }
@@ -134,11 +134,11 @@
             }
             Command::NewRetryState {
                 request,
-                repeat,
+                idempotency,
                 deadline,
                 tx,
             } => {
-                let _ = tx.send(self.new_retry_state(request, repeat, deadline));
+                let _ = tx.send(self.new_retry_state(request, idempotency, deadline));
             }
             Command::RecordFailure {
                 mut retries,
@@ -174,7 +174,7 @@
             Command::Message { message, done } => self.handle_message(now, message, done),
             Command::Answer { from, answer } => self.handle_answer(now, from, answer),
             Command::UpdateHostList(list) => self.update_host_list(now, &list),
-            Command::SetStore(orders) => self.set_store(orders),
+            Command::SetStore(store) => self.set_store(store),
             Command::StoreAnswer(answer) => {
                 self.with_replica(|replica| replica.handle_store_answer(now, answer))
             }
@@ -222,7 +222,7 @@
     fn new_retry_state(
         &mut self,
         request: request::RequestId,
-        repeat: request::Idempotency,
+        idempotency: request::Idempotency,
         deadline: time::Time,
     ) -> retry::RetryState {
         let cfg = retry::Config {
@@ -231,7 +231,7 @@
             ..retry::Config::default()
         };
         let seed = request.0.as_u64_pair().1;
-        retry::RetryState::new(cfg, repeat, deadline, seed, &mut self.budget)
+        retry::RetryState::new(cfg, idempotency, deadline, seed, &mut self.budget)
     }
 
     fn update_host_list(&mut self, now: time::Time, list: &topology::HostList) {
--- a/crates/runtime/src/host/mod.rs
+++ b/crates/runtime/src/host/mod.rs
@@ -36,7 +36,7 @@
 const WATCH_IDLE: Duration = Duration::from_secs(30);
 
 /// Time between two looks at whether a drain is complete.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running entry host.
 #[derive(Debug)]
@@ -47,8 +47,8 @@
     listener: listener::Listener,
     entry_pool: thread_pool::Pool,
     owner_pool: thread_pool::Pool,
-    host_list: poll::HostListPoll,
-    lists: sync::Sync,
+    host_list: poll::HostListPoller,
+    lists: sync::StoreSync,
     admin: listener::Listener,
     journal: journal::Journal,
 }
@@ -84,19 +84,19 @@
 
 /// How a drain ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Drained {
+pub enum DrainResult {
     /// Every request in progress was answered.
-    Whole,
+    Complete,
     /// The upper bound was reached with this many requests in progress.
     TimedOut(usize),
 }
 
-struct Messages {
+struct LinkHandler {
     control: control::Handle,
     owner: Arc<owner::Server>,
 }
 
-impl link::Handler for Messages {
+impl link::Handler for LinkHandler {
     fn forward(&self, head: forward::Forward, body: Bytes, tx: mpsc::Sender<answer::Frame>) {
         self.owner.serve(head, body, tx);
     }
@@ -135,18 +135,19 @@
             owner_pool.clone(),
             timeouts,
         );
-        let messages = Arc::new(Messages {
+        let handler = Arc::new(LinkHandler {
             control: control.handle(),
             owner: Arc::clone(&owner),
         });
-        let links = link::Links::start(link_config(&settings), sockets.links, messages)?;
+        let links = link::Links::start(link_config(&settings), sockets.links, handler)?;
         control.handle().set_links(links.sender());
         let store = store::Store::new(key_value);
-        let (lists, orders) = sync::Sync::start(store.clone(), control.handle(), log.clone())?;
-        control.handle().set_store(orders);
+        let (lists, store_sender) =
+            sync::StoreSync::start(store.clone(), control.handle(), log.clone())?;
+        control.handle().set_store(store_sender);
         // The replica starts with the first host list, and needs the store by then.
         let host_list =
-            poll::HostListPoll::start(&settings.platform, control.handle(), log.clone())?;
+            poll::HostListPoller::start(&settings.platform, control.handle(), log.clone())?;
         let cx = admin::Context {
             settings: Arc::clone(&settings),
             control: control.handle(),
@@ -210,18 +211,18 @@
     /// Takes no more requests and waits until those in progress have been answered, or until the
     /// upper bound of the settings.
     #[must_use]
-    pub fn drain(&self) -> Drained {
+    pub fn drain(&self) -> DrainResult {
         self.control.handle().drain();
         let until = clock::now() + self.settings.timeouts.drain;
         loop {
             let left = self.entry_pool.busy() + self.owner_pool.busy();
             if left == 0 {
-                return Drained::Whole;
+                return DrainResult::Complete;
             }
             if clock::now() >= until {
-                return Drained::TimedOut(left);
+                return DrainResult::TimedOut(left);
             }
-            thread::sleep(DRAIN_POLL);
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
     }
 
--- a/crates/runtime/src/host/poll.rs
+++ b/crates/runtime/src/host/poll.rs
@@ -10,12 +10,12 @@
 
 /// A thread that reads the host list and gives it to the control thread.
 #[derive(Debug)]
-pub struct HostListPoll {
+pub struct HostListPoller {
     stop: channel::Sender<()>,
     thread: thread::JoinHandle<()>,
 }
 
-impl HostListPoll {
+impl HostListPoller {
     /// Starts the thread.
     ///
     /// # Errors
--- a/crates/runtime/src/lists/editor.rs
+++ b/crates/runtime/src/lists/editor.rs
@@ -47,14 +47,14 @@
         if let Some(catalog) = self.control.served_targets() {
             edit = edit.with_served_targets(catalog);
         }
-        let outcome = self.steps(&mut edit);
+        let outcome = self.run(&mut edit);
         if let Outcome::Recorded(delta) = &outcome {
             self.control.handle_recorded_delta(delta.clone());
         }
         outcome
     }
 
-    fn steps<F>(&self, edit: &mut Edit<F>) -> Outcome
+    fn run<F>(&self, edit: &mut Edit<F>) -> Outcome
     where
         F: Fn(&lists::Change) -> bool,
     {
@@ -62,19 +62,19 @@
         loop {
             step = match step {
                 edit::Step::Read => match self.store.read() {
-                    Ok(read) => edit.read(Some((read.guard, &read.stored))),
+                    Ok(read) => edit.read(Some((read.cas_version, &read.stored))),
                     Err(store::Error::Unavailable(_)) => edit.read(None),
                     Err(store::Error::Corrupt(_)) => return corrupt(),
                 },
                 edit::Step::ReadBack => match self.store.read_with_history() {
                     Ok((read, history)) => {
-                        edit.read_back(Some((read.guard, &read.stored, &history)))
+                        edit.read_back(Some((read.cas_version, &read.stored, &history)))
                     }
                     Err(store::Error::Unavailable(_)) => edit.read_back(None),
                     Err(store::Error::Corrupt(_)) => return corrupt(),
                 },
-                edit::Step::Commit(guard, record) => {
-                    edit.committed(self.store.commit(guard, &record))
+                edit::Step::Commit(cas_version, record) => {
+                    edit.committed(self.store.commit(cas_version, &record))
                 }
                 edit::Step::Done(outcome) => return outcome,
             };
@@ -90,12 +90,12 @@
             let read = self.store.read_with_history().ok();
             let read = read
                 .as_ref()
-                .map(|(read, history)| (read.guard, read.stored.version(), &history[..]));
+                .map(|(read, history)| (read.cas_version, read.stored.version(), &history[..]));
             match resolve.read(read) {
                 ResolveStep::Done(resolved) => return resolved,
                 ResolveStep::Read => {}
-                ResolveStep::Commit(guard, record) => {
-                    let answer = self.store.commit(guard, &record);
+                ResolveStep::Commit(cas_version, record) => {
+                    let answer = self.store.commit(cas_version, &record);
                     if let ResolveStep::Done(resolved) = resolve.committed(answer) {
                         return resolved;
                     }
--- a/crates/runtime/src/lists/store.rs
+++ b/crates/runtime/src/lists/store.rs
@@ -45,9 +45,9 @@
 
 /// The lists and the guard of their head, at one revision of the store.
 #[derive(Clone, Debug)]
-pub struct Read {
+pub struct ReadLists {
     /// Guard of the head.
-    pub guard: edit::CasVersion,
+    pub cas_version: edit::CasVersion,
     /// The lists.
     pub stored: storage::StoredLists,
     /// Revision of the store.
@@ -78,7 +78,7 @@
     /// # Errors
     ///
     /// Returns an error if the service does not answer or a value cannot be read.
-    pub fn read(&self) -> Result<Read, Error> {
+    pub fn read(&self) -> Result<ReadLists, Error> {
         read_lists(&self.kv.range(&prefix(storage::PREFIX))?)
     }
 
@@ -87,7 +87,7 @@
     /// # Errors
     ///
     /// Returns an error if the service does not answer or a value cannot be read.
-    pub fn read_with_history(&self) -> Result<(Read, Vec<storage::Record>), Error> {
+    pub fn read_with_history(&self) -> Result<(ReadLists, Vec<storage::Record>), Error> {
         let keys = [storage::PREFIX, storage::HISTORY];
         let txn = key_value::Txn {
             success: keys
@@ -115,8 +115,12 @@
 
     /// Commits an edit if the head still has the guard.
     #[must_use]
-    pub fn commit(&self, guard: edit::CasVersion, record: &storage::Record) -> edit::CommitResult {
-        self.write(guard, storage::writes(record))
+    pub fn commit(
+        &self,
+        cas_version: edit::CasVersion,
+        record: &storage::Record,
+    ) -> edit::CommitResult {
+        self.write(cas_version, storage::writes(record))
     }
 
     /// Writes lists back to a store that has fallen behind.
@@ -135,7 +139,7 @@
             return Ok(edit::CommitResult::HeadChanged);
         }
         let writes = storage::repair_writes(&read.stored, lists, record);
-        Ok(self.write(read.guard, writes))
+        Ok(self.write(read.cas_version, writes))
     }
 
     /// Watches the history after a revision of the store.
@@ -151,11 +155,15 @@
         self.kv.watch(prefix(storage::HISTORY), from)
     }
 
-    fn write(&self, guard: edit::CasVersion, writes: Vec<storage::Write>) -> edit::CommitResult {
+    fn write(
+        &self,
+        cas_version: edit::CasVersion,
+        writes: Vec<storage::Write>,
+    ) -> edit::CommitResult {
         let head = Bytes::from_static(storage::HEAD.as_bytes());
-        let guard = pistachiochute_core::revision::Revision(guard.0);
+        let cas_version = pistachiochute_core::revision::Revision(cas_version.0);
         let txn = key_value::Txn {
-            compares: vec![key_value::Compare::Modified(head, guard)],
+            compares: vec![key_value::Compare::Modified(head, cas_version)],
             success: writes.into_iter().map(op).collect(),
             failure: Vec::new(),
         };
@@ -168,19 +176,19 @@
     }
 }
 
-fn read_lists(found: &key_value::RangeResult) -> Result<Read, Error> {
+fn read_lists(found: &key_value::RangeResult) -> Result<ReadLists, Error> {
     let head = found
         .entries
         .iter()
         .find(|entry| entry.key == storage::HEAD);
-    let guard = edit::CasVersion(head.map_or(0, |entry| entry.modified.0));
+    let cas_version = edit::CasVersion(head.map_or(0, |entry| entry.modified.0));
     let pairs = found
         .entries
         .iter()
         .map(|entry| (&entry.key[..], &entry.value[..]));
     let stored = storage::StoredLists::read(pairs)?;
-    Ok(Read {
-        guard,
+    Ok(ReadLists {
+        cas_version,
         stored,
         revision: found.revision,
     })
--- a/crates/runtime/src/lists/sync.rs
+++ b/crates/runtime/src/lists/sync.rs
@@ -16,15 +16,15 @@
 use crate::platform::key_value;
 use crate::{control, wall_clock};
 
-/// Orders that may wait for the thread.
-const ORDER_BUFFER: usize = 64;
+/// Commands that may wait for the thread.
+const COMMAND_BUFFER: usize = 64;
 
 /// Pause before a watch that could not be started is tried again.
-const WATCH_PAUSE: Duration = Duration::from_secs(1);
+const WATCH_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// What the control thread wants of the store.
 #[derive(Clone, Debug)]
-pub enum Order {
+pub enum StoreCommand {
     /// Read the lists. The host has this version.
     Read(lists::Version),
     /// Deliver each later edit.
@@ -44,25 +44,25 @@
 
 /// Handle with which the control thread gives orders. Never blocks.
 #[derive(Clone, Debug)]
-pub struct Orders {
-    tx: channel::Sender<Order>,
+pub struct StoreSender {
+    tx: channel::Sender<StoreCommand>,
 }
 
-impl Orders {
+impl StoreSender {
     /// Gives an order. The replica repeats what is not answered, so a full channel loses nothing.
-    pub fn give(&self, order: Order) {
-        let _ = self.tx.try_send(order);
+    pub fn send(&self, command: StoreCommand) {
+        let _ = self.tx.try_send(command);
     }
 }
 
 /// The thread that calls the store.
 #[derive(Debug)]
-pub struct Sync {
+pub struct StoreSync {
     stop: channel::Sender<()>,
     thread: thread::JoinHandle<()>,
 }
 
-impl Sync {
+impl StoreSync {
     /// Starts the thread.
     ///
     /// # Errors
@@ -72,10 +72,10 @@
         store: store::Store,
         control: control::Handle,
         log: slog::Logger,
-    ) -> eyre::Result<(Self, Orders)> {
-        let (tx, rx) = channel::bounded(ORDER_BUFFER);
+    ) -> eyre::Result<(Self, StoreSender)> {
+        let (tx, rx) = channel::bounded(COMMAND_BUFFER);
         let (stop, stopped) = channel::bounded(0);
-        let caller = Caller {
+        let worker = Worker {
             store,
             control,
             log,
@@ -84,8 +84,8 @@
         };
         let thread = thread::Builder::new()
             .name("lists".to_owned())
-            .spawn(move || caller.run(&rx, &stopped))?;
-        Ok((Self { stop, thread }, Orders { tx }))
+            .spawn(move || worker.run(&rx, &stopped))?;
+        Ok((Self { stop, thread }, StoreSender { tx }))
     }
 
     /// Ends the thread.
@@ -95,7 +95,7 @@
     }
 }
 
-struct Caller {
+struct Worker {
     store: store::Store,
     control: control::Handle,
     log: slog::Logger,
@@ -104,8 +104,8 @@
     failing: bool,
 }
 
-impl Caller {
-    fn run(mut self, rx: &channel::Receiver<Order>, stopped: &channel::Receiver<()>) {
+impl Worker {
+    fn run(mut self, rx: &channel::Receiver<StoreCommand>, stopped: &channel::Receiver<()>) {
         let none = channel::never();
         loop {
             let events = self
@@ -115,12 +115,12 @@
                 .clone();
             channel::select! {
                 recv(stopped) -> _ => break,
-                recv(rx) -> order => match order {
-                    Ok(order) => self.carry_out(order),
+                recv(rx) -> command => match command {
+                    Ok(command) => self.execute(command),
                     Err(_) => break,
                 },
                 recv(events) -> event => match event {
-                    Ok(event) => self.watched(event),
+                    Ok(event) => self.handle_watch_event(event),
                     Err(_) => self.restart_watch(),
                 },
             }
@@ -128,15 +128,15 @@
         self.unwatch();
     }
 
-    fn carry_out(&mut self, order: Order) {
-        match order {
-            Order::Read(version) => {
+    fn execute(&mut self, command: StoreCommand) {
+        match command {
+            StoreCommand::Read(version) => {
                 let answer = self.read(version);
                 self.control.handle_store_answer(answer);
             }
-            Order::Watch => self.start_watch(),
-            Order::Unwatch => self.unwatch(),
-            Order::Repair {
+            StoreCommand::Watch => self.start_watch(),
+            StoreCommand::Unwatch => self.unwatch(),
+            StoreCommand::Repair {
                 expected,
                 delta,
                 lists,
@@ -176,7 +176,7 @@
             Ok(watch) => self.watch = Some(watch),
             Err(e) => {
                 slog::warn!(self.log, "watch cannot be started"; "error" => %e);
-                thread::sleep(WATCH_PAUSE);
+                thread::sleep(WATCH_RETRY_DELAY);
             }
         }
     }
@@ -189,15 +189,15 @@
 
     fn restart_watch(&mut self) {
         self.unwatch();
-        thread::sleep(WATCH_PAUSE);
+        thread::sleep(WATCH_RETRY_DELAY);
         self.start_watch();
     }
 
-    fn watched(&mut self, event: key_value::WatchEvent) {
+    fn handle_watch_event(&mut self, event: key_value::WatchEvent) {
         match event {
             key_value::WatchEvent::Changes { changes, .. } => {
                 for change in changes {
-                    self.changed(&change);
+                    self.handle_change(&change);
                 }
             }
             key_value::WatchEvent::Reset { .. } => {
@@ -208,7 +208,7 @@
         }
     }
 
-    fn changed(&self, change: &key_value::Change) {
+    fn handle_change(&self, change: &key_value::Change) {
         // A removal makes room in the history and changes no list.
         let key_value::Change::Put(entry) = change else {
             return;
--- a/crates/runtime/tests/failure_callers_close.rs
+++ b/crates/runtime/tests/failure_callers_close.rs
@@ -37,7 +37,7 @@
         }
     });
     let member = fleet.members.remove(0);
-    assert_eq!(member.host.drain(), host::Drained::Whole);
+    assert_eq!(member.host.drain(), host::DrainResult::Complete);
     member.host.close();
     let answer = reading.join().unwrap().unwrap();
     assert!(answer.ends_with(b"data: [DONE]\n\n"));
--- a/crates/runtime/tests/membership.rs
+++ b/crates/runtime/tests/membership.rs
@@ -50,7 +50,7 @@
     assert_eq!(answered(fleet.members[1].callers, 4), 4);
     assert_eq!(
         fleet.members[0].host.drain(),
-        pistachiochute_runtime::host::Drained::Whole
+        pistachiochute_runtime::host::DrainResult::Complete
     );
     let owned = |i: usize| {
         fleet.members[i]
--- a/crates/runtime/tests/path.rs
+++ b/crates/runtime/tests/path.rs
@@ -89,7 +89,7 @@
     let resp = support::chat(callers, &support::prompt("hello", true, 10)).unwrap();
     let reading = std::thread::spawn(move || support::events(resp));
     let drained = fleet.members[0].host.drain();
-    assert_eq!(drained, pistachiochute_runtime::host::Drained::Whole);
+    assert_eq!(drained, pistachiochute_runtime::host::DrainResult::Complete);
     let (events, end) = reading.join().unwrap();
     end.unwrap();
     assert_eq!(events.last().map(|(data, _)| data.as_str()), Some("[DONE]"));
--- a/crates/runtime/tests/support/mod.rs
+++ b/crates/runtime/tests/support/mod.rs
@@ -308,7 +308,7 @@
         at_ms: 0,
         delta: lists::Delta::after(before.version, before.lists.changes_to(lists)),
     };
-    let answer = store.commit(read.guard, &record);
+    let answer = store.commit(read.cas_version, &record);
     assert_eq!(answer, lists::edit::CommitResult::Committed);
     record.delta.to.revision
 }
