--- a/crates/core/src/lists/replica/state.rs
+++ b/crates/core/src/lists/replica/state.rs
@@ -156,7 +156,7 @@
     }
 
     /// Progress of a revision in each domain. Only watchers have the reports of other domains at
-    /// all times; another host first requests them with [`Replica::request_domain_reports`].
+    /// all times; another host first requests them with [`Replica::ask_domains`].
     #[must_use]
     pub fn status(&self, now: time::Time, revision: revision::Revision) -> Vec<DomainStatus> {
         self.confirmations.status(now, &self.view, revision)
@@ -164,7 +164,7 @@
 
     /// Requests the reports of the watchers of the domain, unless this host is one.
     #[must_use]
-    pub fn request_domain_reports(&self) -> Effects {
+    pub fn ask_domains(&self) -> Effects {
         if self.view.is_watcher() {
             return Effects::new();
         }
