--- a/crates/cli/src/demo/fleet.rs
+++ b/crates/cli/src/demo/fleet.rs
@@ -6,7 +6,7 @@
 use pistachiochute_core::entity::Entity as _;
 use pistachiochute_core::{entity, lists, revision, topology};
 use pistachiochute_runtime::{host, metrics, settings};
-use pistachiochute_standins::{engine, hosts, keyvalue, service};
+use pistachiochute_standins::{engine, host_list_server, keyvalue, service};
 use serde_json::{Value, json};
 
 /// API key of the demo's account.
@@ -74,7 +74,7 @@
     /// One replica of the service in each failure domain.
     services: Vec<service::Service>,
     key_value: keyvalue::KeyValue,
-    host_list: hosts::Hosts,
+    host_list: host_list_server::HostListServer,
     list: topology::HostList,
 }
 
@@ -95,7 +95,7 @@
         let services = services?;
         let mut list = host_list(&engines)?;
         list.endpoints.extend(service_entries(&services)?);
-        let host_list = hosts::Hosts::start_on(
+        let host_list = host_list_server::HostListServer::start_on(
             local(port, PLATFORM_PORTS + 1),
             HOST_LIST_LAG,
             topology::HostList::default(),
--- a/crates/runtime/tests/platform_answers.rs
+++ b/crates/runtime/tests/platform_answers.rs
@@ -7,7 +7,7 @@
 
 use pistachiochute_core::topology;
 use pistachiochute_runtime::platform::host_list;
-use pistachiochute_standins::hosts;
+use pistachiochute_standins::host_list_server;
 
 const TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -146,10 +146,10 @@
         version: 3,
         ..Default::default()
     };
-    let service = hosts::Hosts::start(Duration::ZERO, list).unwrap();
+    let service = host_list_server::HostListServer::start(Duration::ZERO, list).unwrap();
     let source = host_list::HostListSource::new(service.addr(), Duration::from_millis(500));
     assert_eq!(source.read().unwrap().version, 3);
-    service.set_faults(hosts::Faults {
+    service.set_faults(host_list_server::Faults {
         cut: true,
         ..Default::default()
     });
@@ -157,12 +157,12 @@
         source.read(),
         Err(host_list::Error::Unreachable { .. })
     ));
-    service.set_faults(hosts::Faults {
+    service.set_faults(host_list_server::Faults {
         down: true,
         ..Default::default()
     });
     assert_eq!(source.read(), Err(host_list::Error::Status(503)));
-    service.set_faults(hosts::Faults {
+    service.set_faults(host_list_server::Faults {
         stall: true,
         ..Default::default()
     });
@@ -170,7 +170,7 @@
         source.read(),
         Err(host_list::Error::Unreachable { .. })
     ));
-    service.set_faults(hosts::Faults {
+    service.set_faults(host_list_server::Faults {
         refuse_connections: true,
         ..Default::default()
     });
@@ -178,7 +178,7 @@
         source.read(),
         Err(host_list::Error::Unreachable { .. })
     ));
-    service.set_faults(hosts::Faults::default());
+    service.set_faults(host_list_server::Faults::default());
     assert_eq!(source.read().unwrap().version, 3);
     service.close();
 }
--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -91,7 +91,7 @@
     events: VecDeque<(Instant, Event)>,
     seq: u64,
     lag: Duration,
-    gaps: u64,
+    dropped_per_mille: u64,
     seed: u64,
 }
 
@@ -105,7 +105,7 @@
             events: VecDeque::new(),
             seq: 0,
             lag: cfg.event_lag,
-            gaps: cfg.event_gaps,
+            dropped_per_mille: cfg.dropped_events_per_mille,
             seed: cfg.seed,
         }
     }
@@ -164,7 +164,9 @@
             return;
         }
         self.seq += 1;
-        if xxh3::xxh3_64_with_seed(&self.seq.to_le_bytes(), self.seed) % 1000 < self.gaps {
+        if xxh3::xxh3_64_with_seed(&self.seq.to_le_bytes(), self.seed) % 1000
+            < self.dropped_per_mille
+        {
             return;
         }
         if self.events.len() == MAX_EVENTS {
--- a/crates/standins/src/engine/chat.rs
+++ b/crates/standins/src/engine/chat.rs
@@ -44,7 +44,7 @@
             Ok(body) => body,
             Err(err) => return self.refuse(exchange, 400, "bad_request", &err.to_string()),
         };
-        let state = self.orders.state();
+        let state = self.commands.state();
         if state.draining {
             return self.refuse(exchange, 503, "draining", "the engine takes no new chats");
         }
--- a/crates/standins/src/engine/orders.rs
+++ b/crates/standins/src/engine/commands.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine and what they led to.
+//! Commands to an engine and what they led to.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,15 +16,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fencing {
     /// It refuses the order.
-    Strict,
+    Enforced,
     /// It carries the order out.
-    Ignores,
+    Disabled,
 }
 
 /// What an engine is told to do.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Order {
+pub enum Command {
     /// Load a model.
     LoadModel(name::ModelName),
     /// Unload a model.
@@ -42,11 +42,12 @@
 /// An order with its fencing number: the body of `POST /orders`.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ordered {
+pub struct FencedCommand {
     /// Fencing number; a larger one is newer.
     pub fence: u64,
     /// What to do.
-    pub order: Order,
+    #[serde(rename = "order")]
+    pub command: Command,
 }
 
 /// What the orders have led to: the answer of `GET /state`.
@@ -69,12 +70,12 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Orders {
+pub(super) struct Commands {
     fencing: Fencing,
     state: Mutex<State>,
 }
 
-impl Orders {
+impl Commands {
     pub(super) fn new(cfg: &engine::Settings) -> Self {
         let state = State {
             models: cfg.models.iter().cloned().collect(),
@@ -93,37 +94,37 @@
 
     /// Carries out an order, or starts the load that it asks for.
     /// Returns the state after it, or the newer fencing number.
-    fn apply(&self, ordered: &Ordered) -> Result<State, u64> {
+    fn apply(&self, fenced: &FencedCommand) -> Result<State, u64> {
         let mut state = sync::lock(&self.state);
-        if self.fencing == Fencing::Strict && ordered.fence < state.fence {
+        if self.fencing == Fencing::Enforced && fenced.fence < state.fence {
             return Err(state.fence);
         }
-        state.fence = state.fence.max(ordered.fence);
-        match ordered.order.clone() {
-            Order::LoadModel(model) => {
+        state.fence = state.fence.max(fenced.fence);
+        match fenced.command.clone() {
+            Command::LoadModel(model) => {
                 state.failed.remove(&model);
                 if !state.models.contains(&model) {
                     state.loading.insert(model);
                 }
             }
-            Order::UnloadModel(model) => {
+            Command::UnloadModel(model) => {
                 state.loading.remove(&model);
                 state.models.remove(&model);
             }
-            Order::LoadAdapter(adapter) => drop(state.adapters.insert(adapter)),
-            Order::UnloadAdapter(adapter) => drop(state.adapters.remove(&adapter)),
-            Order::ChangeRole(role) => state.role = role,
-            Order::Drain(draining) => state.draining = draining,
+            Command::LoadAdapter(adapter) => drop(state.adapters.insert(adapter)),
+            Command::UnloadAdapter(adapter) => drop(state.adapters.remove(&adapter)),
+            Command::ChangeRole(role) => state.role = role,
+            Command::Drain(draining) => state.draining = draining,
         }
         Ok(state.clone())
     }
 
-    fn loaded(&self, model: &name::ModelName, whole: bool) {
+    fn finish_load(&self, model: &name::ModelName, loaded: bool) {
         let mut state = sync::lock(&self.state);
         if !state.loading.remove(model) {
             return;
         }
-        let list = if whole {
+        let list = if loaded {
             &mut state.models
         } else {
             &mut state.failed
@@ -133,25 +134,25 @@
 }
 
 impl engine::Shared {
-    pub(super) fn order(&self, exchange: server::Exchange) {
-        let ordered = match exchange.json::<Ordered>() {
-            Ok(ordered) => ordered,
+    pub(super) fn handle_command(&self, exchange: server::Exchange) {
+        let fenced = match exchange.json::<FencedCommand>() {
+            Ok(fenced) => fenced,
             Err(err) => return exchange.refuse(400, "bad_request", &err.to_string()),
         };
-        let before = self.orders.state();
-        match self.orders.apply(&ordered) {
+        let before = self.commands.state();
+        match self.commands.apply(&fenced) {
             Ok(state) => exchange.respond(200, &state),
             Err(fence) => {
-                let message = format!("fencing number {} is older than {fence}", ordered.fence);
+                let message = format!("fencing number {} is older than {fence}", fenced.fence);
                 return exchange.refuse(409, "stale_fence", &message);
             }
         }
-        if let Order::LoadModel(model) = &ordered.order
+        if let Command::LoadModel(model) = &fenced.command
             && !before.models.contains(model)
             && !before.loading.contains(model)
         {
-            let whole = self.load_model(model);
-            self.orders.loaded(model, whole);
+            let loaded = self.load_model(model);
+            self.commands.finish_load(model, loaded);
         }
     }
 
@@ -159,7 +160,7 @@
     fn load_model(&self, model: &name::ModelName) -> bool {
         let read = self
             .cfg
-            .weights
+            .weight_store
             .is_none_or(|addr| read_weights(addr, model));
         read && self.control.sleep(self.cfg.load_time)
     }
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -19,8 +19,8 @@
 mod api;
 mod cache;
 mod chat;
+mod commands;
 mod load;
-mod orders;
 mod run;
 
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
 use crate::{server, sync};
 
 pub use cache::{BLOCK_BYTES, prefix_blocks};
-pub use orders::{Fencing, Order, Ordered, State};
+pub use commands::{Command, FencedCommand, Fencing, State};
 
 /// Settings of an engine.
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
     /// Time until a cache event can be read.
     pub event_lag: Duration,
     /// Cache events that are never published, out of 1000.
-    pub event_gaps: u64,
+    pub dropped_events_per_mille: u64,
     /// Seed of the gaps.
     pub seed: u64,
     /// Whether orders with an old fencing number are refused.
@@ -67,7 +67,7 @@
     /// Time to load a model, besides the time of the weight store.
     pub load_time: Duration,
     /// Weight store that models are read from.
-    pub weights: Option<SocketAddr>,
+    pub weight_store: Option<SocketAddr>,
     /// Faults from the start.
     pub faults: Faults,
 }
@@ -85,11 +85,11 @@
             cache_blocks: 4096,
             load_lag: Duration::ZERO,
             event_lag: Duration::ZERO,
-            event_gaps: 0,
+            dropped_events_per_mille: 0,
             seed: 0,
-            fencing: Fencing::Strict,
+            fencing: Fencing::Enforced,
             load_time: Duration::ZERO,
-            weights: None,
+            weight_store: None,
             faults: Faults::default(),
         }
     }
@@ -165,7 +165,7 @@
     /// What the orders have led to.
     #[must_use]
     pub fn state(&self) -> State {
-        self.shared.orders.state()
+        self.shared.commands.state()
     }
 }
 
@@ -179,7 +179,7 @@
     slots: run::Slots,
     load: load::Load,
     cache: Mutex<cache::Cache>,
-    orders: orders::Orders,
+    commands: commands::Commands,
 }
 
 impl Shared {
@@ -191,7 +191,7 @@
             slots: run::Slots::new(cfg.slots, cfg.queue),
             load: load::Load::new(cfg.load_lag),
             cache: Mutex::new(cache::Cache::new(&cfg)),
-            orders: orders::Orders::new(&cfg),
+            commands: commands::Commands::new(&cfg),
             cfg,
         }
     }
@@ -213,8 +213,8 @@
                 let snapshot = sync::lock(&self.cache).snapshot();
                 exchange.respond(200, &snapshot);
             }
-            ("POST", "/orders") => self.order(exchange),
-            ("GET", "/state") => exchange.respond(200, &self.orders.state()),
+            ("POST", "/orders") => self.handle_command(exchange),
+            ("GET", "/state") => exchange.respond(200, &self.commands.state()),
             (method, path) => {
                 let method = method.to_owned();
                 if let Some(id) = path.strip_prefix("/v1/requests/") {
@@ -230,7 +230,7 @@
 
     fn list_models(&self, exchange: server::Exchange) {
         let model = |name: &name::ModelName| serde_json::json!({ "id": name, "object": "model", "created": 0, "owned_by": "engine" });
-        let data: Vec<_> = self.orders.state().models.iter().map(model).collect();
+        let data: Vec<_> = self.commands.state().models.iter().map(model).collect();
         exchange.respond(200, &serde_json::json!({ "object": "list", "data": data }));
     }
 
--- a/crates/standins/src/hosts.rs
+++ b/crates/standins/src/host_list_server.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Connections are refused. Only [`Hosts::set_faults`] ends this.
+    /// Connections are refused. Only [`HostListServer::set_faults`] ends this.
     pub refuse_connections: bool,
     /// Requests are taken and never answered.
     pub stall: bool,
@@ -31,14 +31,14 @@
 
 /// A running host list.
 #[derive(Debug)]
-pub struct Hosts {
+pub struct HostListServer {
     shared: Arc<Shared>,
     server: server::Server,
 }
 
-server::controls!(Hosts, Faults);
+server::controls!(HostListServer, Faults);
 
-impl Hosts {
+impl HostListServer {
     /// Starts a host list on a free loopback port.
     ///
     /// # Errors
@@ -79,7 +79,7 @@
 
     /// The newest list, whether it is visible yet or not.
     #[must_use]
-    pub fn newest(&self) -> topology::HostList {
+    pub fn latest(&self) -> topology::HostList {
         let lists = sync::lock(&self.shared.lists);
         lists
             .pending
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -5,11 +5,11 @@
 //! `POST /faults`. `close` ends its threads.
 
 pub mod engine;
-pub mod hosts;
+pub mod host_list_server;
 pub mod keyvalue;
 pub mod platform;
 pub mod relay;
 mod server;
 pub mod service;
 mod sync;
-pub mod weights;
+pub mod weight_store;
--- a/crates/standins/src/weights.rs
+++ b/crates/standins/src/weight_store.rs
@@ -60,14 +60,14 @@
 
 /// A running weight store.
 #[derive(Debug)]
-pub struct Weights {
+pub struct WeightStore {
     shared: Arc<Shared>,
     server: server::Server,
 }
 
-server::controls!(Weights, Faults);
+server::controls!(WeightStore, Faults);
 
-impl Weights {
+impl WeightStore {
     /// Starts a weight store.
     ///
     /// # Errors
--- a/crates/standins/tests/engine.rs
+++ b/crates/standins/tests/engine.rs
@@ -237,7 +237,7 @@
 fn prefix_cache_is_bounded_and_publishes_events_with_gaps() {
     let engine = start(|cfg| {
         cfg.cache_blocks = 8;
-        cfg.event_gaps = 300;
+        cfg.dropped_events_per_mille = 300;
         cfg.seed = 7;
     });
     for i in 0..20 {
@@ -293,8 +293,8 @@
     to.close();
 }
 
-fn order(engine: &engine::Engine, fence: u64, order: engine::Order) -> u16 {
-    let body = engine::Ordered { fence, order };
+fn send_command(engine: &engine::Engine, fence: u64, command: engine::Command) -> u16 {
+    let body = engine::FencedCommand { fence, command };
     let req = attohttpc::post(format!("http://{}/orders", engine.addr()))
         .json(&body)
         .unwrap();
@@ -302,27 +302,30 @@
 }
 
 #[test]
-fn orders_are_fenced_or_not() {
-    let load = || engine::Order::LoadModel("m2".parse().unwrap());
+fn commands_are_fenced_if_enforced() {
+    let load = || engine::Command::LoadModel("m2".parse().unwrap());
     let strict = start(|_| {});
-    assert_eq!(order(&strict, 5, engine::Order::Drain(true)), 200);
-    assert_eq!(order(&strict, 4, load()), 409);
-    assert_eq!(order(&strict, 5, engine::Order::Drain(false)), 200);
+    assert_eq!(send_command(&strict, 5, engine::Command::Drain(true)), 200);
+    assert_eq!(send_command(&strict, 4, load()), 409);
+    assert_eq!(send_command(&strict, 5, engine::Command::Drain(false)), 200);
     assert_eq!(strict.state().models.len(), 1);
-    let ignores = start(|cfg| cfg.fencing = engine::Fencing::Ignores);
-    assert_eq!(order(&ignores, 5, engine::Order::Drain(true)), 200);
-    assert_eq!(order(&ignores, 4, load()), 200);
+    let unfenced = start(|cfg| cfg.fencing = engine::Fencing::Disabled);
+    assert_eq!(
+        send_command(&unfenced, 5, engine::Command::Drain(true)),
+        200
+    );
+    assert_eq!(send_command(&unfenced, 4, load()), 200);
     let deadline = Instant::now() + Duration::from_secs(5);
-    while ignores.state().models.len() < 2 && Instant::now() < deadline {
+    while unfenced.state().models.len() < 2 && Instant::now() < deadline {
         thread::sleep(Duration::from_millis(2));
     }
-    assert_eq!(ignores.state().models.len(), 2);
-    let refused = chat(ignores.addr(), "a", &prompt("x", false))
+    assert_eq!(unfenced.state().models.len(), 2);
+    let refused = chat(unfenced.addr(), "a", &prompt("x", false))
         .send()
         .unwrap();
     assert_eq!(refused.status().as_u16(), 503);
     strict.close();
-    ignores.close();
+    unfenced.close();
 }
 
 #[test]
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -8,7 +8,7 @@
 use base64::Engine as _;
 use base64::prelude::BASE64_STANDARD;
 use pistachiochute_core::{topology, units};
-use pistachiochute_standins::{engine, hosts, keyvalue, weights};
+use pistachiochute_standins::{engine, host_list_server, keyvalue, weight_store};
 use serde_json::{Value, json};
 
 const DEADLINE: Duration = Duration::from_secs(5);
@@ -235,19 +235,20 @@
         version,
         ..Default::default()
     };
-    let hosts = hosts::Hosts::start(Duration::from_millis(150), list(1)).unwrap();
+    let hosts =
+        host_list_server::HostListServer::start(Duration::from_millis(150), list(1)).unwrap();
     let get = || attohttpc::get(format!("http://{}/hosts", hosts.addr())).send();
     let version = || get().unwrap().json::<topology::HostList>().unwrap().version;
     hosts.set(list(2));
     assert_eq!(version(), 1);
-    assert_eq!(hosts.newest().version, 2);
+    assert_eq!(hosts.latest().version, 2);
     wait(|| version() == 2);
-    hosts.set_faults(hosts::Faults {
+    hosts.set_faults(host_list_server::Faults {
         down: true,
         ..Default::default()
     });
     assert_eq!(get().unwrap().status().as_u16(), 503);
-    hosts.set_faults(hosts::Faults {
+    hosts.set_faults(host_list_server::Faults {
         cut: true,
         ..Default::default()
     });
@@ -257,7 +258,7 @@
 
 #[test]
 fn weight_store_shares_its_rate() {
-    let store = weights::Weights::start(weights::Settings {
+    let store = weight_store::WeightStore::start(weight_store::Settings {
         models: [("m1".parse().unwrap(), units::ByteSize(500))].into(),
         rate: units::ByteSize(1000),
         ..Default::default()
@@ -277,7 +278,7 @@
     assert_eq!(missing.status().as_u16(), 404);
     assert_eq!(store.counters().refused, 1);
     let engine = engine::Engine::start(engine::Settings {
-        weights: Some(store.addr()),
+        weight_store: Some(store.addr()),
         ..Default::default()
     })
     .unwrap();
