--- a/crates/runtime/tests/failure_hosts.rs
+++ b/crates/runtime/tests/failure_hosts.rs
@@ -93,7 +93,7 @@
         self.announce();
         for ((_, host), relay) in &self.relays {
             if *host == member.id {
-                relay.cut();
+                relay.partition();
             }
         }
         member.host.close();
@@ -286,7 +286,7 @@
         between.map(|(_, relay)| relay.bytes()).sum()
     };
     assert!(crossed() > 0, "no chat went to the other domain");
-    fleet.between_domains(relay::Relay::cut);
+    fleet.between_domains(relay::Relay::partition);
     let before = (crossed(), tokens());
     all_answer("cut off");
     assert_eq!(crossed(), before.0);
@@ -314,7 +314,7 @@
     let resp = support::chat(callers, &support::prompt("x", true, LONG)).unwrap();
     let reading = std::thread::spawn(move || support::events(resp));
     std::thread::sleep(Duration::from_millis(150));
-    fleet.relays.values().for_each(relay::Relay::forget);
+    fleet.relays.values().for_each(relay::Relay::blackhole);
     let (events, end) = reading.join().unwrap();
     assert!(
         assert_whole_or_error(&events, end),
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-use pistachiochute_standins::platform::caller::{events, whole};
+use pistachiochute_standins::platform::caller::{answer_body, events};
 use pistachiochute_standins::platform::endpoint::seal_of;
 
 use crate::load::{Kind, Record};
@@ -138,7 +138,7 @@
         let from = stop.from - DISTURBED;
         let alone = !self.is_disturbed(record.host, from, record.ended, false);
         let at_steady = !runs.is_empty() && runs.iter().all(|r| self.steady.contains(&r.endpoint));
-        let is_cut = !record.left && !record.answer.is_whole;
+        let is_cut = !record.left && !record.answer.is_complete;
         (alone && at_steady && is_cut)
             .then(|| format!("{} was cut off by a planned stop", record.id))
     }
@@ -185,9 +185,9 @@
     let is_stream = matches!(record.kind, Kind::Stream | Kind::Resumable);
     let expected = match is_stream {
         true => events(&record.id, 0..EVENTS),
-        false => whole(&record.id),
+        false => answer_body(&record.id),
     };
-    if answer.is_whole && answer.body != expected {
+    if answer.is_complete && answer.body != expected {
         return Some(format!(
             "{} got a wrong whole body: {:?}",
             record.id, answer.body
--- a/crates/soak/src/fleet/faults.rs
+++ b/crates/soak/src/fleet/faults.rs
@@ -48,31 +48,31 @@
                 self.hosts[host].signal(Signal::HUP)?;
                 Ok(None)
             }
-            Fault::StoreRefuses { host, span } => Ok(self.shut(host, Mode::Refusing, span)),
-            Fault::StoreSilent { host, span } => Ok(self.shut(host, Mode::Silent, span)),
+            Fault::StoreRefuses { host, span } => Ok(self.shut(host, Mode::Unavailable, span)),
+            Fault::StoreSilent { host, span } => Ok(self.shut(host, Mode::Unresponsive, span)),
             Fault::StoreLosesAnswers { host, span } => {
                 Ok(self.shut(host, Mode::LosingAnswers, span))
             }
             Fault::StoreDown { span } => {
-                for host in 0..self.doors.len() {
-                    self.shut(host, Mode::Refusing, span);
+                for host in 0..self.store_listeners.len() {
+                    self.shut(host, Mode::Unavailable, span);
                 }
                 let open = |world: &mut Self| {
                     world
-                        .doors
+                        .store_listeners
                         .iter()
-                        .for_each(|door| door.set_mode(Mode::Open));
+                        .for_each(|store_listener| store_listener.set_mode(Mode::Serving));
                     Ok(())
                 };
                 lasting(span, Box::new(open))
             }
             Fault::StoreForgets => {
-                self.store.forget_history();
+                self.store.compact_history();
                 Ok(None)
             }
             Fault::StoreReset { host } => {
                 self.disturb(host, Duration::ZERO, false);
-                self.store_relays[host].reset();
+                self.store_relays[host].reset_connections();
                 Ok(None)
             }
             Fault::StoreConnectionsSilent { host, one_way } => {
@@ -100,14 +100,20 @@
     ) -> eyre::Result<Option<(Duration, Ending)>> {
         match fault {
             Fault::EndpointReset { endpoint } => {
-                self.served[endpoint].relays.iter().for_each(Relay::reset);
+                self.served[endpoint]
+                    .relays
+                    .iter()
+                    .for_each(Relay::reset_connections);
             }
             Fault::EndpointSilent { endpoint, one_way } => {
                 let relays = &self.served[endpoint].relays;
                 relays.iter().for_each(|relay| silence(relay, one_way));
             }
             Fault::EndpointCut { endpoint, span } => {
-                self.served[endpoint].relays.iter().for_each(Relay::cut);
+                self.served[endpoint]
+                    .relays
+                    .iter()
+                    .for_each(Relay::partition);
                 let heal = move |world: &mut Self| {
                     world.served[endpoint].relays.iter().for_each(Relay::heal);
                     Ok(())
@@ -167,9 +173,9 @@
         span: Duration,
     ) -> Option<(Duration, Ending)> {
         self.disturb(host, span, false);
-        self.doors[host].set_mode(mode);
+        self.store_listeners[host].set_mode(mode);
         let open = move |world: &mut Self| {
-            world.doors[host].set_mode(Mode::Open);
+            world.store_listeners[host].set_mode(Mode::Serving);
             Ok(())
         };
         Some((span, Box::new(open)))
@@ -201,18 +207,18 @@
     };
     match kind {
         0 => (Behaviour::Refuse, Behaviour::Refuse),
-        1 => (Behaviour::Lose, cut),
+        1 => (Behaviour::CloseWithoutAnswer, cut),
         2 => (Behaviour::Hang, Behaviour::Hang),
-        3 => (Behaviour::OtherId, cut),
-        4 => (Behaviour::Unsealed, Behaviour::Lose),
+        3 => (Behaviour::WrongRequestId, cut),
+        4 => (Behaviour::Unsealed, Behaviour::CloseWithoutAnswer),
         _ => (Behaviour::Answer { status: 503 }, cut),
     }
 }
 
 fn silence(relay: &Relay, one_way: bool) {
     match one_way {
-        true => relay.forget_answers(),
-        false => relay.forget(),
+        true => relay.blackhole_answers(),
+        false => relay.blackhole(),
     }
 }
 
--- a/crates/soak/src/fleet/mod.rs
+++ b/crates/soak/src/fleet/mod.rs
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 
 use eyre::WrapErr as _;
-use pistachiochute_standins::platform::caller::Ask;
+use pistachiochute_standins::platform::caller::CallerRequest;
 use pistachiochute_standins::platform::endpoint::{Behaviour, Endpoint};
 use pistachiochute_standins::platform::records;
-use pistachiochute_standins::platform::store::{Door, Store};
+use pistachiochute_standins::platform::store::{Store, StoreListener};
 use pistachiochute_standins::relay::Relay;
 
 use crate::checks::{EVENTS, Ran, Seen, Verdict};
@@ -87,8 +87,8 @@
     }
 
     fn set(&self, calls: Behaviour, streams: Behaviour) {
-        self.calls.set(calls);
-        self.streams.set(streams);
+        self.calls.set_behaviour(calls);
+        self.streams.set_behaviour(streams);
     }
 
     fn runs(&self) -> Vec<Ran> {
@@ -96,7 +96,7 @@
             let ran = |run: pistachiochute_standins::platform::endpoint::Run| Ran {
                 id: run.id,
                 endpoint: endpoint.id().to_owned(),
-                at: run.at,
+                at: run.started_at,
             };
             endpoint.runs().into_iter().map(ran)
         });
@@ -110,7 +110,7 @@
 /// Everything that a seed plays with.
 struct World {
     store: Store,
-    doors: Vec<Door>,
+    store_listeners: Vec<StoreListener>,
     store_relays: Vec<Relay>,
     hosts: Vec<Host>,
     served: Vec<Served>,
@@ -127,7 +127,7 @@
         let store = Store::new();
         let mut world = Self {
             store,
-            doors: Vec::new(),
+            store_listeners: Vec::new(),
             store_relays: Vec::new(),
             hosts: Vec::new(),
             served: Vec::new(),
@@ -148,12 +148,12 @@
             world.served.push(served);
         }
         for i in 0..run.hosts {
-            let door = world.store.door()?;
-            let relay = Relay::start(door.addr())?;
+            let store_listener = world.store.listen()?;
+            let relay = Relay::start(store_listener.addr())?;
             let domain = ["dom-a", "dom-b"][i % 2];
             let host = Host::start(i, domain, relay.addr(), &run.daemon, dir)?;
             world.hosts.push(host);
-            world.doors.push(door);
+            world.store_listeners.push(store_listener);
             world.store_relays.push(relay);
         }
         Ok(world)
@@ -207,7 +207,7 @@
         let end = Instant::now() + within;
         let key = load::key(self.callers.key.load(Ordering::Relaxed));
         let serves = |address: SocketAddr| {
-            let ask = Ask::new("probe", "/call/", &key);
+            let ask = CallerRequest::new("probe", "/call/", &key);
             ask.send(address).status == 200
         };
         let mut waiting: Vec<_> = self.hosts.iter().collect();
@@ -229,8 +229,8 @@
         for relay in self.store_relays {
             relay.close();
         }
-        for door in self.doors {
-            door.close();
+        for store_listener in self.store_listeners {
+            store_listener.close();
         }
         for served in self.served.into_iter().chain(self.gone) {
             served.calls.close();
@@ -290,7 +290,7 @@
 
     fn verdict(&self, seen: &Seen, faults: usize) -> Verdict {
         let is_served = |record: &&load::Record| {
-            (200..300).contains(&record.answer.status) && record.answer.is_whole
+            (200..300).contains(&record.answer.status) && record.answer.is_complete
         };
         Verdict {
             seed: self.seed,
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pistachiochute_standins::platform::caller::{Answer, Ask, read};
+use pistachiochute_standins::platform::caller::{Answer, CallerRequest, read};
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 
@@ -113,7 +113,7 @@
     let leaves = rng.random_bool(0.05);
     let number = shared.key.load(Ordering::Relaxed);
     let sent = Instant::now();
-    let ask = Ask::new(id, kind.path(), &key(number));
+    let ask = CallerRequest::new(id, kind.path(), &key(number));
     let mut stream = ask.open(address).ok()?;
     let answer = match leaves {
         true => {
--- a/crates/standins/src/platform/caller.rs
+++ b/crates/standins/src/platform/caller.rs
@@ -18,7 +18,7 @@
     /// Body, as far as it came.
     pub body: String,
     /// Whether the body ended as its head says.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
 impl Answer {
@@ -40,7 +40,7 @@
 
 /// A request of a caller.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct CallerRequest {
     /// Id of the request.
     pub id: String,
     /// HTTP method.
@@ -53,7 +53,7 @@
     pub headers: Vec<(String, String)>,
 }
 
-impl Ask {
+impl CallerRequest {
     /// Makes a request.
     #[must_use]
     pub fn new(id: &str, path: &str, key: &str) -> Self {
@@ -137,20 +137,20 @@
         status,
         head: head.to_owned(),
         body: String::new(),
-        is_whole: false,
+        is_complete: false,
     };
     if let Some(len) = answer.header("content-length") {
         let len: usize = len.parse().unwrap_or(usize::MAX);
-        answer.is_whole = rest.len() >= len;
+        answer.is_complete = rest.len() >= len;
         answer.body = rest.get(..len).unwrap_or(rest).to_owned();
     } else {
-        (answer.body, answer.is_whole) = unchunk(rest);
+        (answer.body, answer.is_complete) = decode_chunked(rest);
     }
-    (answer.is_whole || is_ended).then_some(answer)
+    (answer.is_complete || is_ended).then_some(answer)
 }
 
 /// Chunks of a body so far, and whether the last one came.
-fn unchunk(mut rest: &str) -> (String, bool) {
+fn decode_chunked(mut rest: &str) -> (String, bool) {
     let mut body = String::new();
     while let Some((size, after)) = rest.split_once("\r\n") {
         let Ok(size) = usize::from_str_radix(size, 16) else {
@@ -182,6 +182,6 @@
 
 /// Body of a whole answer to a request.
 #[must_use]
-pub fn whole(request: &str) -> String {
+pub fn answer_body(request: &str) -> String {
     format!("answer to {request}")
 }
--- a/crates/standins/src/platform/endpoint.rs
+++ b/crates/standins/src/platform/endpoint.rs
@@ -24,11 +24,11 @@
     /// It states that it did not run the request.
     Refuse,
     /// It runs the request and closes the connection without an answer.
-    Lose,
+    CloseWithoutAnswer,
     /// It runs the request and never answers.
     Hang,
     /// It answers with the id of another request.
-    OtherId,
+    WrongRequestId,
     /// It answers without vouching for the answer.
     Unsealed,
     /// It sends a stream of events.
@@ -54,7 +54,7 @@
     /// Body.
     pub body: Bytes,
     /// When it began.
-    pub at: Instant,
+    pub started_at: Instant,
 }
 
 #[derive(Debug)]
@@ -103,7 +103,7 @@
     }
 
     /// Changes what it does with new requests.
-    pub fn set(&self, behaviour: Behaviour) {
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         *lock(&self.handler.behaviour) = behaviour;
     }
 
@@ -130,12 +130,12 @@
 }
 
 /// Counts a request that is dropped before its end.
-struct Running {
+struct CancellationGuard {
     handler: Arc<Handler>,
     is_done: bool,
 }
 
-impl Drop for Running {
+impl Drop for CancellationGuard {
     fn drop(&mut self) {
         if !self.is_done {
             self.handler.cancelled.send_modify(|n| *n += 1);
@@ -167,25 +167,27 @@
             target: head.uri.to_string(),
             headers: head.headers,
             body,
-            at: Instant::now(),
+            started_at: Instant::now(),
         });
         match behaviour {
             Behaviour::Answer { status } => {
                 let status = StatusCode::from_u16(status).ok()?;
-                Some(self.sealed(self.reply(status, &id, caller::whole(&id))))
+                Some(self.sealed(self.reply(status, &id, caller::answer_body(&id))))
             }
-            Behaviour::Refuse | Behaviour::Lose => None,
+            Behaviour::Refuse | Behaviour::CloseWithoutAnswer => None,
             Behaviour::Hang => {
-                let _running = Running {
+                let _guard = CancellationGuard {
                     handler: self.clone(),
                     is_done: false,
                 };
                 std::future::pending().await
             }
-            Behaviour::OtherId => {
-                Some(self.sealed(self.reply(StatusCode::OK, "another", caller::whole("another"))))
-            }
-            Behaviour::Unsealed => Some(self.reply(StatusCode::OK, &id, caller::whole(&id))),
+            Behaviour::WrongRequestId => Some(self.sealed(self.reply(
+                StatusCode::OK,
+                "another",
+                caller::answer_body("another"),
+            ))),
+            Behaviour::Unsealed => Some(self.reply(StatusCode::OK, &id, caller::answer_body(&id))),
             Behaviour::Stream {
                 events,
                 pause,
@@ -242,12 +244,12 @@
         cut_at: Option<u64>,
     ) -> impl Stream<Item = Result<Frame<Bytes>, std::io::Error>> + Send + Sync + 'static {
         let (tx, rx) = tokio::sync::mpsc::channel(1);
-        let running = Running {
+        let guard = CancellationGuard {
             handler: self,
             is_done: false,
         };
         tokio::spawn(async move {
-            let mut running = running;
+            let mut guard = guard;
             for id in ids {
                 tokio::time::sleep(pause).await;
                 let event = caller::event(&request, id);
@@ -260,14 +262,14 @@
                     return;
                 }
                 if is_cut {
-                    running.is_done = true;
+                    guard.is_done = true;
                     // The part of the event leaves before the connection is cut.
                     tokio::time::sleep(Duration::from_millis(50)).await;
                     drop(tx.send(Err(std::io::Error::other("cut"))).await);
                     return;
                 }
             }
-            running.is_done = true;
+            guard.is_done = true;
         });
         Receiver(rx)
     }
--- a/crates/standins/src/platform/http.rs
+++ b/crates/standins/src/platform/http.rs
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub(crate) struct Server {
     addr: SocketAddr,
-    is_closed: watch::Sender<bool>,
+    close_signal: watch::Sender<bool>,
     thread: thread::JoinHandle<()>,
 }
 
@@ -44,14 +44,14 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").wrap_err("listener")?;
         listener.set_nonblocking(true)?;
         let addr = listener.local_addr()?;
-        let is_closed = watch::Sender::new(false);
-        let closed = is_closed.subscribe();
+        let close_signal = watch::Sender::new(false);
+        let closed = close_signal.subscribe();
         let thread = thread::Builder::new()
             .name("stand-in".to_owned())
             .spawn(move || run(listener, handler, closed))?;
         Ok(Self {
             addr,
-            is_closed,
+            close_signal,
             thread,
         })
     }
@@ -61,7 +61,7 @@
     }
 
     pub(crate) fn close(self) {
-        self.is_closed.send_replace(true);
+        self.close_signal.send_replace(true);
         // A thread that panicked has shown it in the output of the test.
         drop(self.thread.join());
     }
@@ -118,7 +118,7 @@
 impl std::error::Error for Closed {}
 
 /// A whole body.
-pub(crate) fn whole<B>(bytes: B) -> Body
+pub(crate) fn full_body<B>(bytes: B) -> Body
 where
     B: Into<Bytes>,
 {
@@ -131,7 +131,7 @@
 where
     B: Into<Bytes>,
 {
-    let mut response = Response::new(whole(bytes));
+    let mut response = Response::new(full_body(bytes));
     *response.status_mut() = status;
     response
 }
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -1,7 +1,7 @@
-//! Stand-in of the platform's key-value service.
+//! Stand-in for the platform's key-value service.
 //!
-//! Several [`Door`]s lead to one store, so that a test can shut the store to one host and leave it
-//! open to others.
+//! Several [`StoreListener`]s serve one store, so that a test can make the store fail for one host
+//! while other hosts still reach it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,17 +18,17 @@
 
 use crate::platform::http;
 
-/// What a door does with calls.
+/// How a [`StoreListener`] handles calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// It carries them out.
+    /// Calls are executed and answered.
     #[default]
-    Open,
-    /// It refuses them without doing anything.
-    Refusing,
-    /// It never answers.
-    Silent,
-    /// It carries writes out and loses the answers.
+    Serving,
+    /// Calls are answered 503 and have no effect.
+    Unavailable,
+    /// Calls have no effect and are not answered while the mode lasts.
+    Unresponsive,
+    /// Writes are executed, and their connections close without an answer.
     LosingAnswers,
 }
 
@@ -52,8 +52,8 @@
     revision: u64,
     items: BTreeMap<String, Item>,
     history: Vec<Change>,
-    /// Changes up to and with this revision are forgotten.
-    forgotten: u64,
+    /// Changes up to and including this revision are no longer in the history.
+    compacted_revision: u64,
     leases: i64,
     calls: u64,
 }
@@ -80,7 +80,7 @@
         });
     }
 
-    fn end_lease(&mut self, lease: i64) {
+    fn revoke_lease(&mut self, lease: i64) {
         let of_lease = |item: &&Item| item.lease == lease;
         let keys: Vec<_> = self
             .items
@@ -94,14 +94,14 @@
     }
 }
 
-fn shown(key: &str, item: &Item) -> Value {
+fn item_json(key: &str, item: &Item) -> Value {
     json!({
         "key": key, "value": BASE64.encode(&item.value), "revision": item.revision,
         "createdRev": item.created, "lease": item.lease,
     })
 }
 
-/// The store behind all doors. Leases end only when they are ended.
+/// Contents that all listeners serve. Leases do not expire; they end only when revoked.
 #[derive(Clone, Debug)]
 pub struct Store {
     state: Arc<Mutex<State>>,
@@ -132,18 +132,18 @@
 
     /// Writes an entry that need not be JSON.
     pub fn put_bytes(&self, key: &str, value: Vec<u8>) {
-        self.edit(|state| state.write(key, Some((value, 0))));
+        self.update(|state| state.write(key, Some((value, 0))));
     }
 
     /// Removes an entry.
     pub fn remove(&self, key: &str) {
-        self.edit(|state| state.write(key, None));
+        self.update(|state| state.write(key, None));
     }
 
     /// Forgets the history, so that watches have to start anew.
-    pub fn forget_history(&self) {
-        self.edit(|state| {
-            state.forgotten = state.revision;
+    pub fn compact_history(&self) {
+        self.update(|state| {
+            state.compacted_revision = state.revision;
             state.history.clear();
         });
     }
@@ -154,27 +154,27 @@
         self.lock().calls
     }
 
-    /// Opens a door to the store.
+    /// Starts a listener for the store on a free loopback port, in [`Mode::Serving`].
     ///
     /// # Errors
     ///
     /// Returns an error if no address can be listened on.
-    pub fn door(&self) -> eyre::Result<Door> {
+    pub fn listen(&self) -> eyre::Result<StoreListener> {
         let handler = Arc::new(Handler {
             store: self.clone(),
-            mode: watch::Sender::new(Mode::Open),
+            mode: watch::Sender::new(Mode::Serving),
             cuts: watch::Sender::new(0),
         });
         let server = http::Server::start(handler.clone())?;
-        Ok(Door { server, handler })
+        Ok(StoreListener { server, handler })
     }
 
-    fn edit<F>(&self, edit: F)
+    fn update<F>(&self, change: F)
     where
         F: FnOnce(&mut State),
     {
         let mut state = self.lock();
-        edit(&mut state);
+        change(&mut state);
         self.changed.send_replace(state.revision);
     }
 
@@ -183,14 +183,14 @@
     }
 }
 
-/// An address of the store.
+/// A listener on an address of its own, with its own fault mode.
 #[derive(Debug)]
-pub struct Door {
+pub struct StoreListener {
     server: http::Server,
     handler: Arc<Handler>,
 }
 
-impl Door {
+impl StoreListener {
     /// Address.
     #[must_use]
     pub const fn addr(&self) -> SocketAddr {
@@ -202,12 +202,12 @@
         self.handler.cuts.send_modify(|cuts| *cuts += 1);
     }
 
-    /// Changes what the door does with calls, those that wait included.
+    /// Changes how calls are handled, including those in progress.
     pub fn set_mode(&self, mode: Mode) {
         self.handler.mode.send_replace(mode);
     }
 
-    /// Ends the door and its thread.
+    /// Closes the listener and its connections, and ends its thread.
     pub fn close(self) {
         self.server.close();
     }
@@ -225,28 +225,28 @@
     async fn handle(self: Arc<Self>, req: Request<Incoming>) -> Option<Response<http::Body>> {
         self.store.lock().calls += 1;
         let mode = *self.mode.borrow();
-        if mode == Mode::Refusing {
+        if mode == Mode::Unavailable {
             return Some(http::answer(StatusCode::SERVICE_UNAVAILABLE, ""));
         }
-        if mode == Mode::Silent {
-            self.until(|mode| mode != Mode::Silent).await;
+        if mode == Mode::Unresponsive {
+            self.wait_until(|mode| mode != Mode::Unresponsive).await;
             return None;
         }
-        let loses = mode == Mode::LosingAnswers && req.method() != Method::GET;
-        let mut shut = self.mode.subscribe();
+        let drops_answer = mode == Mode::LosingAnswers && req.method() != Method::GET;
+        let mut mode_change = self.mode.subscribe();
         let mut cuts = self.cuts.subscribe();
         let answer = tokio::select! {
-            answer = self.carry_out(req) => answer,
-            // A watch that waits is cut when the door is shut.
-            _ = shut.wait_for(|mode| *mode != Mode::Open) => None,
+            answer = self.dispatch(req) => answer,
+            // Leaving `Serving` closes the connections of waiting watches.
+            _ = mode_change.wait_for(|mode| *mode != Mode::Serving) => None,
             _ = cuts.changed() => None,
         };
-        answer.filter(|_| !loses)
+        answer.filter(|_| !drops_answer)
     }
 }
 
 impl Handler {
-    async fn until<F>(&self, is_over: F)
+    async fn wait_until<F>(&self, is_over: F)
     where
         F: Fn(Mode) -> bool,
     {
@@ -255,7 +255,7 @@
         drop(modes.wait_for(|mode| is_over(*mode)).await);
     }
 
-    async fn carry_out(&self, req: Request<Incoming>) -> Option<Response<http::Body>> {
+    async fn dispatch(&self, req: Request<Incoming>) -> Option<Response<http::Body>> {
         let path = req.uri().path().to_owned();
         let query = query(req.uri().query().unwrap_or(""));
         let method = req.method().clone();
@@ -275,7 +275,7 @@
             }
             (Method::POST, "kv-keep") => ok(&json!({"ttlMs": 3_000})),
             (Method::DELETE, "kv-lease-end") => {
-                self.store.edit(|state| state.end_lease(lease));
+                self.store.update(|state| state.revoke_lease(lease));
                 ok(&json!({}))
             }
             _ => http::answer(StatusCode::NOT_FOUND, ""),
@@ -289,7 +289,7 @@
             .items
             .iter()
             .filter(|(key, _)| key.starts_with(prefix))
-            .map(|(key, item)| shown(key, item))
+            .map(|(key, item)| item_json(key, item))
             .collect();
         ok(&json!({"items": items, "morePages": false, "asOf": state.revision}))
     }
@@ -319,7 +319,7 @@
     /// Answer to a watch, if there is one yet.
     fn changes(&self, prefix: &str, after: u64) -> Option<Response<http::Body>> {
         let state = self.store.lock();
-        if after < state.forgotten {
+        if after < state.compacted_revision {
             return Some(http::answer(StatusCode::GONE, ""));
         }
         let is_new = |change: &&Change| change.revision > after && change.key.starts_with(prefix);
@@ -328,7 +328,7 @@
             .iter()
             .filter(is_new)
             .map(|change| match &change.item {
-                Some(item) => shown(&change.key, item),
+                Some(item) => item_json(&change.key, item),
                 None => json!({
                     "key": change.key, "revision": change.revision, "tombstone": true,
                 }),
@@ -340,7 +340,7 @@
 
     fn txn(&self, body: &Value) -> Response<http::Body> {
         let mut revision = 0;
-        self.store.edit(|state| {
+        self.store.update(|state| {
             for set in body["setKeys"].as_array().into_iter().flatten() {
                 let value = BASE64.decode(set["value"].as_str().unwrap_or(""));
                 let lease = set["lease"].as_i64().unwrap_or(0);
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -33,7 +33,7 @@
     target: SocketAddr,
     closing: AtomicBool,
     /// Whether connections are refused.
-    cut: AtomicBool,
+    partitioned: AtomicBool,
     /// Bytes passed on, in both directions.
     bytes: AtomicU64,
     /// Time for which each read is held back, in milliseconds.
@@ -46,7 +46,7 @@
 struct Connection {
     sockets: [TcpStream; 2],
     /// Whether the bytes to the target, and those from it, are discarded.
-    forgotten: [Arc<AtomicBool>; 2],
+    blackholed: [Arc<AtomicBool>; 2],
     /// Whether one direction has ended.
     ended: Arc<AtomicBool>,
 }
@@ -75,7 +75,7 @@
         let shared = Arc::new(Shared {
             target,
             closing: AtomicBool::new(false),
-            cut: AtomicBool::new(false),
+            partitioned: AtomicBool::new(false),
             bytes: AtomicU64::new(0),
             delay_ms: AtomicU64::new(0),
             connections: Mutex::default(),
@@ -106,37 +106,37 @@
     }
 
     /// Closes all connections and refuses new ones.
-    pub fn cut(&self) {
-        self.shared.cut.store(true, Ordering::Release);
+    pub fn partition(&self) {
+        self.shared.partitioned.store(true, Ordering::Release);
         self.wait_for(false);
         self.shared.close_connections();
     }
 
     /// Takes connections again.
     pub fn heal(&self) {
-        self.shared.cut.store(false, Ordering::Release);
+        self.shared.partitioned.store(false, Ordering::Release);
         self.wait_for(true);
     }
 
     /// Discards all further bytes of the connections that are established, and keeps them open.
-    pub fn forget(&self) {
+    pub fn blackhole(&self) {
         for connection in sync::lock(&self.shared.connections).iter() {
-            for forgotten in &connection.forgotten {
-                forgotten.store(true, Ordering::Release);
+            for blackholed in &connection.blackholed {
+                blackholed.store(true, Ordering::Release);
             }
         }
     }
 
     /// Discards what comes from the target on the connections that are established; what goes to
     /// it is passed on.
-    pub fn forget_answers(&self) {
+    pub fn blackhole_answers(&self) {
         for connection in sync::lock(&self.shared.connections).iter() {
-            connection.forgotten[1].store(true, Ordering::Release);
+            connection.blackholed[1].store(true, Ordering::Release);
         }
     }
 
     /// Closes all connections, and takes new ones.
-    pub fn reset(&self) {
+    pub fn reset_connections(&self) {
         self.shared.close_connections();
     }
 
@@ -165,7 +165,7 @@
     fn accept(self: Arc<Self>, addr: SocketAddr, first: TcpListener) {
         let mut listener = Some(first);
         while !self.closing.load(Ordering::Acquire) {
-            if self.cut.load(Ordering::Acquire) {
+            if self.partitioned.load(Ordering::Acquire) {
                 listener = None;
             } else if listener.is_none() {
                 listener = TcpListener::bind(addr).ok();
@@ -198,7 +198,7 @@
         }
         let connection = Connection {
             sockets: [near.try_clone()?, far.try_clone()?],
-            forgotten: Default::default(),
+            blackholed: Default::default(),
             ended: Arc::default(),
         };
         self.copy(near.try_clone()?, far.try_clone()?, &connection, 0)?;
@@ -215,12 +215,12 @@
         direction: usize,
     ) -> std::io::Result<()> {
         let shared = Arc::clone(self);
-        let forgotten = Arc::clone(&connection.forgotten[direction]);
+        let blackholed = Arc::clone(&connection.blackholed[direction]);
         let ended = Arc::clone(&connection.ended);
         let copying = move || {
             let mut buf = vec![0; BUFFER_LEN];
             while let Ok(len @ 1..) = from.read(&mut buf) {
-                if forgotten.load(Ordering::Acquire) {
+                if blackholed.load(Ordering::Acquire) {
                     continue;
                 }
                 let delay = shared.delay_ms.load(Ordering::Relaxed);
@@ -233,8 +233,8 @@
                     break;
                 }
             }
-            if !forgotten.load(Ordering::Acquire) {
-                // The end of one direction is passed on, unless the relay has forgotten it.
+            if !blackholed.load(Ordering::Acquire) {
+                // The end of one direction is passed on, unless the relay has blackholed it.
                 let shut = to.shutdown(Shutdown::Write);
                 drop(shut);
                 ended.store(true, Ordering::Relaxed);
--- a/crates/standins/tests/relay.rs
+++ b/crates/standins/tests/relay.rs
@@ -40,7 +40,7 @@
     let mut socket = connect(&relay);
     assert!(echoes(&mut socket));
     assert!(relay.bytes() >= 8);
-    relay.cut();
+    relay.partition();
     assert!(!echoes(&mut socket));
     assert!(TcpStream::connect(relay.addr()).is_err());
     relay.heal();
@@ -53,7 +53,7 @@
     let relay = relay::Relay::start(echo()).unwrap();
     let mut socket = connect(&relay);
     assert!(echoes(&mut socket));
-    relay.forget();
+    relay.blackhole();
     socket.write_all(b"ping").unwrap();
     let err = socket.read(&mut [0; 4]).unwrap_err();
     assert_eq!(err.kind(), std::io::ErrorKind::WouldBlock);
