--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,9 +1,11 @@
-//! The clock of the host.
+//! Monotonic clock of the host.
 
 use pistachiochute_core::time;
 
-/// Reads the time since boot. The clock goes on while the process or the machine is suspended, so
-/// a lease that lapsed during a pause is seen as lapsed.
+/// Returns the time since boot.
+///
+/// The clock keeps running while the process or the machine is suspended, so a lease that expired
+/// during a suspension is seen as expired.
 #[must_use]
 pub fn now() -> time::Time {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
--- a/crates/runtime/src/http_client.rs
+++ b/crates/runtime/src/http_client.rs
@@ -1,7 +1,7 @@
-//! Blocking HTTP calls, each on a connection of its own.
+//! Blocking HTTP/1.1 client that opens a new connection for every call.
 //!
-//! A connection of its own cannot go silent while it is idle, and closing it ends the call at the
-//! other end. It is driven by the thread that waits for the answer.
+//! A new connection cannot have gone dead while idle in a pool, and closing it cancels the call on
+//! the server. The connection is driven by the thread that waits for the answer.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -19,28 +19,28 @@
 use tokio::sync::mpsc;
 use tokio::time::{self, Instant};
 
-/// Bounds on the time of a call.
+/// Timeouts of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// Time to make the connection.
+    /// Timeout of connecting.
     pub connect: Duration,
-    /// Longest silence of the other end.
+    /// Longest time without data from the server.
     pub idle: Duration,
-    /// Time until the answer is whole, or `None` for one that goes on.
+    /// Time until the answer must be complete, or `None` for an endless stream.
     pub total: Option<Duration>,
 }
 
-/// Who wants an answer.
+/// When a call is cancelled before it is complete.
 #[derive(Clone, Debug)]
 pub enum Cancellation {
-    /// The calling thread, to the end.
+    /// The call runs to its end.
     Never,
-    /// The receiver of a channel, as long as it is there.
+    /// The call is cancelled when the receiver of the channel is dropped.
     OnReceiverClosed(mpsc::Sender<answer::Frame>),
 }
 
 impl Cancellation {
-    /// Waits until the answer is no longer wanted.
+    /// Waits until the call is cancelled.
     async fn cancelled(&self) {
         match self {
             Self::Never => std::future::pending().await,
@@ -49,18 +49,18 @@
     }
 }
 
-/// Why a call has no answer, or no more of it.
+/// Why a call failed or its answer ended early.
 #[derive(Debug)]
 pub enum Error {
-    /// No connection was made, so the call was not sent.
+    /// The connection could not be established, so the request was not sent.
     NotSent(io::Error),
-    /// The other end was silent for too long, or the time of the call is over.
+    /// The server sent no data for the idle timeout, or the total timeout has passed.
     TimedOut,
     /// The connection was lost before the answer was complete.
     ConnectionLost(hyper::Error),
-    /// The answer is longer than this many bytes.
+    /// The answer exceeds this number of bytes.
     TooLong(u64),
-    /// The answer is no longer wanted.
+    /// The call was cancelled.
     Cancelled,
 }
 
@@ -91,7 +91,7 @@
     }
 }
 
-/// A call and the executor that its connection runs on.
+/// A call in progress and the executor that drives its connection.
 struct Call {
     runtime: Runtime,
     idle: Duration,
@@ -100,7 +100,7 @@
 }
 
 impl Call {
-    /// Drives the connection until something arrives, the answer is unwanted, or time is up.
+    /// Drives the connection until `arrival` completes, the call is cancelled, or it times out.
     fn wait<T, F>(&self, arrival: F) -> Result<T, Error>
     where
         F: Future<Output = T>,
@@ -118,12 +118,13 @@
     }
 }
 
-/// Sends a request and waits for the head of its answer. The target of the request is a path; the
-/// headers about the host and the connection are set here.
+/// Sends a request and waits for the status and headers of its answer.
+///
+/// The target of the request is a path. This function sets the `Host` and `Connection` headers.
 ///
 /// # Errors
 ///
-/// Only [`Error::NotSent`] is proof that the request did not arrive.
+/// Only [`Error::NotSent`] guarantees that the server did not receive the request.
 pub fn send(
     addr: SocketAddr,
     mut req: Request<Full<Bytes>>,
@@ -173,17 +174,17 @@
     stream.set_nodelay(true)?;
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(io::Error::other)?;
-    // An error of the connection is that of the call that it carries.
+    // A connection error also fails the one call on the connection, which reports it.
     tokio::spawn(async { drop(connection.await) });
     Ok(sender)
 }
 
-/// An answer whose body is read as it comes.
+/// An answer whose body is read as a stream.
 pub struct Response {
     /// Status and headers.
     pub head: response::Parts,
     body: Incoming,
-    /// Bytes that arrived and were not read.
+    /// Bytes of the last chunk that have not been read.
     buffered: Bytes,
     call: Call,
 }
@@ -197,18 +198,19 @@
 }
 
 impl Response {
-    /// Value of a header, or nothing.
+    /// Value of a header, or empty if the answer has none.
     #[must_use]
     pub fn header(&self, name: &str) -> Bytes {
         let value = self.head.headers.get(name);
         value.map_or_else(Bytes::new, |value| Bytes::copy_from_slice(value.as_bytes()))
     }
 
-    /// The whole body, of at most `max` bytes.
+    /// Reads the body to its end, up to `max` bytes.
     ///
     /// # Errors
     ///
-    /// Returns an error if the body is cut, silent, too long, or no longer wanted.
+    /// Returns an error if the body is truncated, stalls or exceeds `max` bytes, or if the call is
+    /// cancelled.
     pub fn read_to_end(mut self, max: u64) -> Result<Bytes, Error> {
         let mut buf = BytesMut::new();
         while let Some(chunk) = self.next_chunk()? {
@@ -220,7 +222,7 @@
         Ok(buf.freeze())
     }
 
-    /// The next piece of the body, or `None` after a whole one.
+    /// Returns the next chunk of the body, or `None` at the end of a complete body.
     fn next_chunk(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
             let frame = self.call.wait(self.body.frame())?;
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,4 +1,7 @@
-//! Sockets, threads and timers round the decisions of pistachiochute-core.
+//! Runtime of a host: sockets, threads, timers, settings, logs and metrics.
+//!
+//! `pistachiochute-core` makes the decisions without any I/O; this crate feeds it events and
+//! carries out the effects that it returns.
 
 pub mod admin;
 pub mod clock;
--- a/crates/runtime/src/link/client.rs
+++ b/crates/runtime/src/link/client.rs
@@ -1,4 +1,4 @@
-//! Calls to other hosts.
+//! Client side of the links: calls to other hosts.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -15,23 +15,23 @@
 use crate::link;
 use crate::link::ping;
 
-/// Why a call to another host brought no whole answer.
+/// Why a call to another host has no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// No connection could be made, so the call did not leave this host.
+    /// The connection could not be established or used, so the call was not sent.
     ConnectFailed,
-    /// The receiver refused the call before reading it.
+    /// The receiver refused the call without processing it.
     Refused,
-    /// The connection was lost after the call may have been received.
+    /// The connection was lost after the receiver may have read the call.
     ConnectionLost,
-    /// No reply came for the stall deadline.
+    /// No data arrived for the stall timeout, or the timeout of a control message passed.
     Stalled,
-    /// The receiver sent bytes that are not replies.
+    /// The receiver sent data that cannot be decoded.
     Malformed,
 }
 
 impl CallError {
-    /// Reason that the caller is told.
+    /// Reason code for the caller.
     #[must_use]
     pub const fn reason(self) -> reason::Refusal {
         match self {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// What is known of whether the request ran.
+    /// Whether the request may have run.
     #[must_use]
     pub const fn outcome(self) -> outcome::Outcome {
         match self {
@@ -63,23 +63,24 @@
 
 type Requester = client::SendRequest<Bytes>;
 
-/// A connection, and what is known of its use.
+/// A connection and the monitor of its streams and pings.
 #[derive(Clone)]
 struct Connection {
     requester: Requester,
     monitor: ping::Monitor,
 }
 
-/// Connection to one host, or none yet. The lock makes concurrent calls share one attempt.
+/// Connection to one host, if there is one. Concurrent calls wait for the lock, so that only one of
+/// them connects.
 type Slot = Arc<Mutex<Option<Connection>>>;
 
-/// Connections to other hosts, one for each address.
+/// Connections to other hosts, one per address.
 pub struct ConnectionPool {
     cfg: Arc<link::Config>,
     slots: HashMap<net::SocketAddr, Slot>,
 }
 
-/// Addresses kept before those without a connection are forgotten.
+/// Number of addresses at which those without a connection are evicted.
 const MAX_SLOTS: usize = 1024;
 
 impl ConnectionPool {
@@ -105,7 +106,7 @@
         tokio::spawn(async move {
             let ended = tokio::select! {
                 ended = call.forward(head, body, &tx) => ended,
-                // The receiver of the replies is gone: dropping the stream resets it.
+                // The receiver of the replies was dropped. Dropping the stream resets it.
                 () = tx.closed() => return,
             };
             if let Err(e) = ended {
@@ -186,7 +187,7 @@
         Ok(answer.into())
     }
 
-    /// Passes the replies on, until the last.
+    /// Decodes replies and sends them to `tx`, until the last one.
     async fn receive(
         &self,
         mut body: h2::RecvStream,
@@ -203,11 +204,11 @@
                 }
             }
         }
-        // The stream ended without its last reply.
+        // The stream ended before the last reply.
         Err(CallError::ConnectionLost)
     }
 
-    /// Waits for the next bytes; `None` is the end of the stream.
+    /// Waits for the next data of the stream, or `None` at its end.
     async fn wait_data(
         &self,
         body: &mut h2::RecvStream,
@@ -231,7 +232,7 @@
             .map_err(|_| CallError::Stalled)
     }
 
-    /// Opens a stream on the connection to the host, which is made if there is none.
+    /// Opens a stream to the host, connecting first if there is no connection.
     async fn open(
         &self,
         path: &str,
@@ -292,7 +293,7 @@
         let pinger = monitor.clone();
         tokio::spawn(async move {
             let Some(pings) = pings else { return };
-            // Dropping the connection ends every stream on it.
+            // When the pings fail, dropping the connection ends every stream on it.
             tokio::select! {
                 _ = connection => {}
                 () = pinger.run(pings) => {}
@@ -302,7 +303,8 @@
     }
 }
 
-/// A stream that the receiver refused by its code was not processed there.
+/// Maps the error of a stream. A receiver that resets a stream with `REFUSED_STREAM` has not
+/// processed it (RFC 9113, section 8.7).
 fn classify_stream_error(e: h2::Error) -> CallError {
     match e.reason() {
         Some(h2::Reason::REFUSED_STREAM) if e.is_remote() => CallError::Refused,
@@ -317,7 +319,7 @@
     )
 }
 
-/// Sends bytes as the window allows, and ends the stream.
+/// Sends the body within the flow-control window, and ends the stream.
 async fn send_body(stream: &mut h2::SendStream<Bytes>, body: Bytes) -> Result<(), CallError> {
     link::server::send(stream, body)
         .await
--- a/crates/runtime/src/link/mod.rs
+++ b/crates/runtime/src/link/mod.rs
@@ -1,9 +1,11 @@
-//! Links between hosts: h2 connections that carry forwarded requests and control messages.
+//! Links between hosts: HTTP/2 connections that carry forwarded requests and control messages.
 //!
-//! One thread runs every link of the host on a single-threaded executor. Traffic threads hand it
-//! calls and take replies from bounded channels, so a slow caller holds back its own stream alone.
-//! Each connection that is in use and silent is checked by pings with a deadline, since a
-//! connection can go silent for good while new ones work. An idle connection is not pinged.
+//! One thread runs all links of the host on a single-threaded executor. Other threads send it calls
+//! and receive replies through bounded channels, so a slow caller delays only its own stream.
+//!
+//! A connection with open streams that receives nothing is checked by pings with a timeout, because
+//! an established connection can stop working while new ones still succeed. An idle connection is
+//! not pinged.
 
 mod client;
 mod ping;
@@ -21,16 +23,16 @@
 
 pub use client::CallError;
 
-/// Path of a forwarded request.
+/// Request path of a forwarded request.
 const FORWARD_PATH: &str = "/forward";
 
-/// Path of a control message.
+/// Request path of a control message.
 const CONTROL_PATH: &str = "/control";
 
 /// Header that carries the shared secret of the fleet.
 const SECRET_HEADER: &str = "x-link-secret";
 
-/// Replies of one call that may wait for its receiver.
+/// Capacity of the channel that buffers the replies of one call.
 pub const REPLY_BUFFER: usize = 32;
 
 /// Receive window of a stream, in bytes.
@@ -39,19 +41,19 @@
 /// Receive window of a connection, in bytes.
 const CONNECTION_WINDOW: u32 = 4 * 1024 * 1024;
 
-/// Settings of the links.
+/// Configuration of the links.
 #[derive(Clone)]
 pub struct Config {
     /// Secret that every host of the fleet shares.
     pub secret: Bytes,
-    /// Time to make a connection.
+    /// Timeout of connecting, including the HTTP/2 handshake.
     pub connect: Duration,
-    /// Silence after which a connection in use is pinged, and time in which the ping must be
-    /// answered.
+    /// Time without received data after which a connection with open streams is pinged, and timeout
+    /// of the ping.
     pub ping: Duration,
-    /// Time in which a control message must be answered.
+    /// Timeout of a control message, from the call to the complete answer.
     pub control: Duration,
-    /// Time without a reply after which a forwarded request has stalled.
+    /// Time without received data after which a forwarded request has stalled.
     pub stall: Duration,
     /// Largest body of a forwarded request, in bytes.
     pub max_body_bytes: usize,
@@ -67,20 +69,20 @@
     }
 }
 
-/// What a host does with the messages that other hosts send it.
+/// Handles the messages that other hosts send to this one.
 pub trait Handler: Send + Sync + 'static {
-    /// Serves a forwarded request; replies go to `tx`, which closes when the sender goes away.
+    /// Serves a forwarded request and sends the replies to `tx`, which is closed when the calling
+    /// host resets the stream or its connection is lost.
     fn forward(&self, head: forward::Forward, body: Bytes, tx: mpsc::Sender<answer::Frame>);
 
-    /// Answers a control message through `done`, which is dropped if the message is malformed.
+    /// Answers a control message through `done`. A malformed message is refused by dropping `done`.
     fn control(&self, message: Bytes, done: oneshot::Sender<Bytes>);
 }
 
-/// One received item of a call: a reply, or the reason why no more will come.
+/// One item that a call receives: a reply, or the error that ended the call.
 pub type Received = Result<answer::Frame, CallError>;
 
-/// What is done with the answer to a control message. Runs on the link thread, so it only hands
-/// the answer on.
+/// Callback for the answer to a control message. It runs on the link thread, so it must not block.
 pub type AnswerCallback = Box<dyn FnOnce(Result<Bytes, CallError>) + Send>;
 
 enum Command {
@@ -98,7 +100,7 @@
     Close,
 }
 
-/// The links of one host.
+/// Links of one host to all others.
 #[derive(Debug)]
 pub struct Links {
     sender: Sender,
@@ -106,14 +108,15 @@
     thread: thread::JoinHandle<()>,
 }
 
-/// Handle with which other threads make calls.
+/// Handle for making calls from other threads.
 #[derive(Clone, Debug)]
 pub struct Sender {
     tx: mpsc::UnboundedSender<Command>,
 }
 
 impl Sender {
-    /// Sends an encoded [`forward::Forward`] and its body to a host, and returns the replies.
+    /// Sends an encoded [`forward::Forward`] and its body to a host, and returns the channel that
+    /// receives the replies.
     #[must_use]
     pub fn forward(
         &self,
@@ -122,7 +125,8 @@
         body: Bytes,
     ) -> mpsc::Receiver<Received> {
         let (tx, rx) = mpsc::channel(REPLY_BUFFER);
-        // A closed link thread drops `tx`, which the receiver sees as the end of the replies.
+        // If the link thread has ended, `tx` is dropped and the receiver sees the end of the
+        // replies.
         let _ = self.tx.send(Command::Forward {
             addr,
             head,
@@ -132,7 +136,7 @@
         rx
     }
 
-    /// Sends a control message to a host and gives the answer to `on_answer`.
+    /// Sends a control message to a host and calls `on_answer` with the answer.
     pub fn control<F>(&self, addr: net::SocketAddr, message: Bytes, on_answer: F)
     where
         F: FnOnce(Result<Bytes, CallError>) + Send + 'static,
@@ -147,7 +151,7 @@
 }
 
 impl Links {
-    /// Starts the thread of the links, which serves `listener`.
+    /// Starts the link thread, which also serves the connections of `listener`.
     ///
     /// # Errors
     ///
@@ -174,19 +178,19 @@
         })
     }
 
-    /// Address on which other hosts are served.
+    /// Address on which connections of other hosts are accepted.
     #[must_use]
     pub fn addr(&self) -> net::SocketAddr {
         self.addr
     }
 
-    /// Handle with which calls are made.
+    /// Returns a handle for making calls.
     #[must_use]
     pub fn sender(&self) -> Sender {
         self.sender.clone()
     }
 
-    /// Ends every connection and the thread.
+    /// Closes every connection and waits for the thread to end.
     pub fn close(self) {
         let _ = self.sender.tx.send(Command::Close);
         let _ = self.thread.join();
--- a/crates/runtime/src/link/ping.rs
+++ b/crates/runtime/src/link/ping.rs
@@ -1,4 +1,4 @@
-//! Pings on a connection that is in use and silent.
+//! Pings on connections that have open streams and receive nothing.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use crate::clock;
 
-/// Use of one connection, shared by its streams and its pings.
+/// Tracks the activity of one connection. Shared by its streams and the task that sends its pings.
 #[derive(Clone)]
 pub struct Monitor {
     shared: Arc<Shared>,
@@ -17,14 +17,14 @@
 
 struct Shared {
     link: Mutex<liveness::Link>,
-    /// Wakes the pings when a stream is opened.
+    /// Wakes the ping task when a stream is opened.
     stream_opened: Notify,
-    /// Time in which a ping must be answered.
+    /// Timeout of a ping.
     ping_timeout: Duration,
 }
 
-/// A stream that is open on a connection. Counted as closed when it is dropped, because the
-/// future that holds it may be dropped at any point.
+/// Guard of an open stream. Dropping it counts the stream as closed, since the future that holds it
+/// may be dropped at any point.
 pub struct OpenStream {
     shared: Arc<Shared>,
 }
@@ -36,7 +36,8 @@
 }
 
 impl Monitor {
-    /// Makes the monitor of a new connection, which is pinged after `ping_after` while it is in use.
+    /// Creates the monitor of a new connection. While streams are open, the connection is pinged
+    /// after `ping_after` without received data.
     pub fn new(ping_after: Duration, ping_timeout: Duration) -> Self {
         let cfg = liveness::LinkConfig {
             ping_after_ms: ping_after.as_millis() as u64,
@@ -63,7 +64,8 @@
         }
     }
 
-    /// Sends pings as the connection needs them. Returns when it must be given up.
+    /// Sends pings as needed. Returns when the connection must be closed, because a ping was not
+    /// answered in time or failed.
     pub async fn run(self, mut pings: h2::PingPong) {
         loop {
             let check = self.shared.link().check(clock::now());
@@ -84,7 +86,7 @@
 }
 
 impl OpenStream {
-    /// Records that something arrived on the stream.
+    /// Records that data arrived on the stream.
     pub fn record_received(&self) {
         self.shared.link().record_received(clock::now());
     }
--- a/crates/runtime/src/link/server.rs
+++ b/crates/runtime/src/link/server.rs
@@ -1,4 +1,4 @@
-//! Calls from other hosts.
+//! Server side of the links: calls from other hosts.
 
 use std::future;
 use std::sync::Arc;
@@ -15,17 +15,18 @@
 use crate::link;
 use crate::link::ping;
 
-/// Pause after the listener failed, for instance because no descriptor was left.
+/// Delay before accepting again after an error, for instance when no file descriptor is left.
 const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(50);
 
-/// Streams that one host may have open at once on a connection.
+/// Maximum number of concurrent streams on a connection.
 const MAX_STREAMS: u32 = 4096;
 
-/// Silences after which the serving side pings, in those of the calling side. A stream of replies
-/// brings nothing back to the serving side, so it would ping every connection in use.
+/// Factor by which the serving side waits longer than the calling side before it pings. The serving
+/// side receives no data while it streams replies, so with the same interval it would ping every
+/// connection with open streams.
 const SERVER_PING_FACTOR: u32 = 5;
 
-/// Serves every connection of the listener.
+/// Accepts connections and serves each on a task.
 pub async fn listen<H>(cfg: Arc<link::Config>, listener: net::TcpListener, handler: Arc<H>)
 where
     H: link::Handler,
@@ -78,7 +79,7 @@
     cfg: Arc<link::Config>,
     request: http::Request<h2::RecvStream>,
     respond: server::SendResponse<Bytes>,
-    /// Counts the stream as open for as long as it is served.
+    /// Keeps the stream counted as open while it is served.
     open: ping::OpenStream,
 }
 
@@ -114,7 +115,7 @@
         };
         let (tx, mut rx) = mpsc::channel(link::REPLY_BUFFER);
         handler.forward(head, body, tx);
-        // When the sender resets the stream, dropping `rx` tells the handler.
+        // When the calling host resets the stream, dropping `rx` closes the channel of the handler.
         while let Some(reply) = next_reply(&mut stream, &mut rx).await {
             let Ok(frame) = codec::encode(&reply) else {
                 break;
@@ -146,7 +147,8 @@
         }
     }
 
-    /// Reads the head and the body of a forwarded request, whose length the head states.
+    /// Reads the head and the body of a forwarded request. Returns `None` unless the body has the
+    /// length that the head declares.
     async fn read_forward(&mut self) -> Option<(forward::Forward, Bytes)> {
         let bytes = self
             .read_body(codec::MAX_FRAME_LEN + self.cfg.max_body_bytes)
@@ -158,7 +160,8 @@
         (body.len() as u64 == head.body_len).then_some((head, body))
     }
 
-    /// Reads the whole request body, or `None` if it is cut, stalls or exceeds `max` bytes.
+    /// Reads the complete request body. Returns `None` if it is truncated, stalls or exceeds `max`
+    /// bytes.
     async fn read_body(&mut self, max: usize) -> Option<Bytes> {
         let body = self.request.body_mut();
         let mut buf = bytes::BytesMut::new();
@@ -184,7 +187,7 @@
     }
 }
 
-/// Waits for the next reply, or `None` if there is none left or the stream was reset.
+/// Waits for the next reply. Returns `None` after the last one or if the stream was reset.
 async fn next_reply(
     stream: &mut h2::SendStream<Bytes>,
     rx: &mut mpsc::Receiver<answer::Frame>,
@@ -195,7 +198,7 @@
     }
 }
 
-/// Sends bytes as the window allows.
+/// Sends `data` as the flow-control window allows.
 pub async fn send(stream: &mut h2::SendStream<Bytes>, mut data: Bytes) -> Result<(), h2::Error> {
     while data.has_remaining() {
         stream.reserve_capacity(data.len());
--- a/crates/runtime/src/listener/answer.rs
+++ b/crates/runtime/src/listener/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that a thread of a pool gives and the thread of the connections sends.
+//! Answers: written by a pool thread, sent by the listener thread.
 
 use std::fmt;
 use std::pin::Pin;
@@ -8,50 +8,50 @@
 use http_body::Frame;
 use tokio::sync::{mpsc, oneshot};
 
-/// Chunks of a stream that wait to be sent.
+/// Capacity of the channel between a pool thread and the connection, in chunks.
 const MAX_QUEUED_CHUNKS: usize = 4;
 
-/// The caller has left, or its connection is lost.
+/// The caller has closed its connection, or the connection was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Disconnected;
 
 impl fmt::Display for Disconnected {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the caller is gone")
+        f.write_str("the caller has disconnected")
     }
 }
 
 impl std::error::Error for Disconnected {}
 
-/// The answer that a caller waits for. A connection whose answer is dropped is closed without one.
+/// Handle for answering one request. Dropping it closes the connection without an answer.
 #[derive(Debug)]
 pub struct Answer {
     tx: oneshot::Sender<http::Response<Body>>,
 }
 
 impl Answer {
-    /// Makes an answer, and the receiver that it comes to.
+    /// Creates the handle and the receiver for its response.
     pub(super) fn new() -> (Self, oneshot::Receiver<http::Response<Body>>) {
         let (tx, rx) = oneshot::channel();
         (Self { tx }, rx)
     }
 
-    /// Answers with a whole body.
+    /// Sends a complete response.
     ///
     /// # Errors
     ///
-    /// Returns [`Disconnected`] if nobody waits any more.
+    /// Returns [`Disconnected`] if the connection has ended.
     pub fn send(self, response: http::Response<Bytes>) -> Result<(), Disconnected> {
         self.tx
             .send(response.map(Body::complete))
             .map_err(|_| Disconnected)
     }
 
-    /// Begins an answer that is sent piece by piece.
+    /// Sends the status and headers, and returns a stream for the body.
     ///
     /// # Errors
     ///
-    /// Returns [`Disconnected`] if nobody waits any more.
+    /// Returns [`Disconnected`] if the connection has ended.
     pub fn start_stream(self, head: http::Response<()>) -> Result<Stream, Disconnected> {
         let (tx, rx) = mpsc::channel(MAX_QUEUED_CHUNKS);
         let response = head.map(|()| Body::Chunks {
@@ -63,23 +63,23 @@
     }
 }
 
-/// A part of a stream.
+/// Item of a streamed body.
 #[derive(Debug)]
 pub(super) enum Chunk {
     Data(Bytes),
-    /// The stream is whole.
+    /// The body is complete.
     End,
 }
 
-/// An answer that is sent piece by piece. If it is dropped before [`Stream::finish`], the caller
-/// sees that it was cut.
+/// An answer whose body is sent in chunks. Dropping it before [`Stream::finish`] closes the
+/// connection early, so that the caller sees a truncated answer.
 #[derive(Debug)]
 pub struct Stream {
     tx: mpsc::Sender<Chunk>,
 }
 
 impl Stream {
-    /// Sends a piece. Waits while the caller is slower than its answer.
+    /// Sends a chunk. Blocks while the channel to the connection is full.
     ///
     /// # Errors
     ///
@@ -90,7 +90,7 @@
             .map_err(|_| Disconnected)
     }
 
-    /// Ends a whole answer.
+    /// Ends a complete answer.
     ///
     /// # Errors
     ///
@@ -100,33 +100,33 @@
     }
 }
 
-/// The stream ends before it is whole, and its connection with it.
+/// Error of a body that ends before it is complete. It makes the HTTP library close the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Truncated;
 
 impl fmt::Display for Truncated {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer was cut")
+        f.write_str("the answer was truncated")
     }
 }
 
 impl std::error::Error for Truncated {}
 
-/// Body of an answer.
+/// Body of a response.
 #[derive(Debug)]
 pub(super) enum Body {
-    /// A whole body.
+    /// A complete body, or `None` once it is sent or if it is empty.
     Complete(Option<Bytes>),
-    /// Chunks as they come.
+    /// Chunks as a pool thread sends them.
     Chunks {
         rx: mpsc::Receiver<Chunk>,
-        /// Whether the stream is cut and what was sent before is being flushed.
+        /// Whether the stream was truncated and the chunks before are being flushed.
         is_flushing: bool,
     },
 }
 
 impl Body {
-    /// A whole body; an empty one has no frame.
+    /// Creates a complete body. An empty one has no data frame.
     fn complete(bytes: Bytes) -> Self {
         Self::Complete((!bytes.is_empty()).then_some(bytes))
     }
@@ -148,8 +148,8 @@
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(Chunk::Data(data))) => Poll::Ready(Some(Ok(Frame::data(data)))),
             Poll::Ready(Some(Chunk::End)) => Poll::Ready(None),
-            // The library drops what it has not sent yet once a body fails, so it gets one turn
-            // to send the last piece, which may say why the stream is cut.
+            // Once a body fails, the library drops the data that it has not sent. Returning
+            // `Pending` once lets it send the last chunk, which may state the error.
             Poll::Ready(None) if !std::mem::replace(is_flushing, true) => {
                 cx.waker().wake_by_ref();
                 Poll::Pending
--- a/crates/runtime/src/listener/mod.rs
+++ b/crates/runtime/src/listener/mod.rs
@@ -1,8 +1,8 @@
-//! Takes HTTP connections.
+//! HTTP/1.1 server for callers and operators.
 //!
-//! One thread drives all connections and reads each request whole, within its bounds. The request
-//! is then served on a thread of a pool, which answers through an [`Answer`]. An answer that is not
-//! whole ends with its connection, so that no client takes it for whole.
+//! One thread drives all connections and reads each request completely, within limits on size and
+//! time. The request is then served on a thread of a pool, which answers through an [`Answer`]. An
+//! incomplete answer closes its connection, so that no client takes it for complete.
 
 mod answer;
 mod request;
@@ -28,48 +28,48 @@
 
 use crate::thread_pool;
 
-/// Smallest bound on the head of a request that the library takes, in bytes. It answers larger
-/// heads itself, without a reason code.
+/// Smallest read buffer that the HTTP library accepts, in bytes. The buffer limits the head of a
+/// request; the library itself refuses a larger one, without a reason code.
 const MIN_HEAD_BYTES: usize = 8 << 10;
 
-/// Time in which a connection that is one too many gets its answer.
+/// Timeout of refusing a connection beyond the limit.
 const REFUSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Pause after the listener failed, for instance because no descriptor was left.
+/// Delay before accepting again after an error, for instance when no file descriptor is left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Longest wait of a close for answers in progress.
+/// Longest time that closing waits for answers in progress.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What is done with the requests of a listener.
+/// Serves the requests of a listener.
 pub trait Service: Send + Sync + 'static {
-    /// Serves one request to its end, on a thread of the pool.
+    /// Serves one request to its end. Runs on a thread of the pool.
     fn serve(&self, req: Request, answer: Answer);
 
-    /// Refuses one request because the host serves as many as it may.
+    /// Refuses one request because no thread of the pool is free. Runs on the listener thread.
     fn refuse_busy(&self, req: Request, answer: Answer);
 }
 
-/// Settings of a listener.
+/// Configuration of a listener.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Connections at once.
+    /// Maximum number of concurrent connections.
     pub max_connections: usize,
-    /// Answer to a connection beyond them.
+    /// Raw HTTP response sent on a connection beyond `max_connections`.
     pub busy_answer: Bytes,
-    /// Longest head of a request, in bytes, up to which the service is asked.
+    /// Largest head of a request that reaches the service, in bytes.
     pub max_head_bytes: usize,
-    /// Time in which the head of a request must arrive, and longest time between two requests.
+    /// Timeout of reading the head of a request. It also limits the time between two requests.
     pub head_timeout: Duration,
-    /// Longest body, in bytes.
+    /// Largest body, in bytes.
     pub max_body_bytes: u64,
-    /// Time in which a body must arrive.
+    /// Timeout of reading a body.
     pub body_timeout: Duration,
-    /// Longest time that a connection takes no bytes of an answer.
+    /// Longest time that sent data may stay unacknowledged by the caller (`TCP_USER_TIMEOUT`).
     pub stall_timeout: Duration,
 }
 
-/// A listener.
+/// A listener and the thread that drives its connections.
 #[derive(Debug)]
 pub struct Listener {
     addr: net::SocketAddr,
@@ -78,7 +78,7 @@
 }
 
 impl Listener {
-    /// Starts to take connections on `socket` and serves their requests on the threads of `pool`.
+    /// Starts accepting connections on `socket`. Requests are served on the threads of `pool`.
     ///
     /// # Errors
     ///
@@ -110,22 +110,22 @@
         })
     }
 
-    /// Address that is served.
+    /// Local address of the listener.
     #[must_use]
     pub const fn addr(&self) -> net::SocketAddr {
         self.addr
     }
 
-    /// Takes no more connections, and ends those that there are after the answers in progress, or
-    /// after a bounded time.
+    /// Stops accepting connections, and closes the open ones when their answers in progress have
+    /// ended, or after a bounded time.
     pub fn close(self) {
         self.closing.send_replace(true);
-        // A thread that panicked has ended its connections.
+        // If the thread has panicked, its connections are closed already.
         let _ = self.thread.join();
     }
 }
 
-/// What all connections of a listener share.
+/// State that all connections of a listener share.
 struct Shared<S> {
     cfg: Config,
     pool: thread_pool::Pool,
@@ -170,7 +170,7 @@
     let _ = time::timeout(CLOSE_TIMEOUT, permits.acquire_many(all)).await;
 }
 
-/// Answers a connection that is one too many.
+/// Refuses a connection beyond the limit.
 async fn refuse(mut stream: tokio::net::TcpStream, busy_answer: Bytes) {
     let answering = async {
         stream.write_all(&busy_answer).await?;
@@ -179,7 +179,7 @@
         while stream.read(&mut buf).await? > 0 {}
         std::io::Result::Ok(())
     };
-    // The caller may be gone, which nobody needs to know.
+    // Errors are ignored: the caller may have disconnected.
     let _ = time::timeout(REFUSE_TIMEOUT, answering).await;
 }
 
@@ -194,7 +194,7 @@
         mut closed: watch::Receiver<bool>,
     ) {
         if self.set_options(&stream).is_err() {
-            // The connection has ended already.
+            // Setting an option fails only on a connection that has ended.
             return;
         }
         let service = service_fn(|req| {
@@ -205,11 +205,11 @@
             .timer(TokioTimer::new())
             .header_read_timeout(self.cfg.head_timeout)
             .max_buf_size(self.cfg.max_head_bytes.max(MIN_HEAD_BYTES))
-            // A caller that has ended its side may still wait for its answer.
+            // A caller that has shut down its sending side may still wait for its answer.
             .half_close(true)
             .serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
-        // The caller sees what went wrong on its connection.
+        // Errors of the connection are not logged, since the caller sees them.
         tokio::select! {
             _ = connection.as_mut() => {}
             () = wait_closed(&mut closed) => {
@@ -225,7 +225,7 @@
         Ok(sockopt::set_tcp_user_timeout(stream, stall)?)
     }
 
-    /// Reads a request and waits for its answer.
+    /// Reads a request, passes it to the service and waits for the answer.
     async fn answer(
         &self,
         req: http::Request<Incoming>,
@@ -242,7 +242,7 @@
 
     fn dispatch(&self, req: Request, answer: Answer) {
         let service = Arc::clone(&self.service);
-        // The request is taken back out if no thread is free.
+        // The slot allows taking the request back if no thread is free.
         let slot = Arc::new(Mutex::new(Some((req, answer))));
         let taken = Arc::clone(&slot);
         let job = move || {
@@ -260,7 +260,7 @@
 
 /// Waits until the listener is closed.
 async fn wait_closed(closed: &mut watch::Receiver<bool>) {
-    // A listener that is gone is closed as well.
+    // An error means that the listener was dropped, which also closes it.
     drop(closed.wait_for(|closed| *closed).await);
 }
 
--- a/crates/runtime/src/listener/request.rs
+++ b/crates/runtime/src/listener/request.rs
@@ -1,4 +1,4 @@
-//! Requests as they are read from connections.
+//! Requests read from connections.
 
 use std::time::Duration;
 
@@ -8,41 +8,44 @@
 use pistachiochute_core::reason;
 use tokio::time;
 
-/// Time in which the rest of a request is discarded beside its answer, so that closing the
-/// connection does not discard the answer.
+/// Time for which the rest of a refused request is read and discarded while the answer is sent.
+/// Closing a connection with unread data resets it, and the caller could lose the answer.
 const LINGER: Duration = Duration::from_millis(200);
 
-/// Bounds on the body of a request.
+/// Limits on the body of a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BodyLimits {
-    /// Longest body, in bytes.
+    /// Largest body, in bytes.
     pub max_bytes: u64,
-    /// Time in which it must arrive.
+    /// Timeout of reading the body.
     pub timeout: Duration,
 }
 
-/// A request that was read.
+/// A request with its body.
 #[derive(Debug)]
 pub struct Request {
     /// Method, target and headers.
     pub head: http::request::Parts,
-    /// The whole body, or why there is none.
+    /// The complete body, or why there is none.
     pub body: Result<Bytes, BodyError>,
 }
 
 impl Request {
-    /// Reads a request whole.
+    /// Reads the body of a request.
     pub(super) async fn read(req: http::Request<Incoming>, limits: BodyLimits) -> Self {
         let (head, mut body) = req.into_parts();
         let reading = time::timeout(limits.timeout, read_body(&mut body, limits.max_bytes)).await;
-        let whole = reading.unwrap_or_else(|_| {
+        let body_result = reading.unwrap_or_else(|_| {
             let message = "the body did not arrive in time";
             Err(BodyError::Truncated(message.to_owned()))
         });
-        if whole.is_err() {
+        if body_result.is_err() {
             discard(body);
         }
-        Self { head, body: whole }
+        Self {
+            head,
+            body: body_result,
+        }
     }
 
     /// Path without the query.
@@ -58,24 +61,24 @@
         target.map_or("", http::uri::PathAndQuery::as_str)
     }
 
-    /// Value of a header, or nothing.
+    /// Value of a header, if the request has it.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&http::HeaderValue> {
         self.head.headers.get(name)
     }
 }
 
-/// Why a request has no whole body.
+/// Why a request has no complete body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is longer than the bound.
+    /// The body exceeds the limit.
     TooLarge,
-    /// It ended early or did not arrive in time.
+    /// The body ended early or did not arrive in time.
     Truncated(String),
 }
 
 impl BodyError {
-    /// Reason code and message for whoever sent a body that may have `max` bytes.
+    /// Returns the reason code and message for the sender, where `max` is the limit in bytes.
     #[must_use]
     pub fn refusal(self, max: u64) -> (reason::Refusal, String) {
         match self {
@@ -88,20 +91,20 @@
     }
 }
 
-/// Reads a body within its bound.
+/// Reads a body of at most `max` bytes.
 async fn read_body(body: &mut Incoming, max: u64) -> Result<Bytes, BodyError> {
     if body.size_hint().lower() > max {
         return Err(BodyError::TooLarge);
     }
     let max = usize::try_from(max).unwrap_or(usize::MAX);
     match Limited::new(body, max).collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
+        Ok(body) => Ok(body.to_bytes()),
         Err(e) if e.is::<LengthLimitError>() => Err(BodyError::TooLarge),
         Err(e) => Err(BodyError::Truncated(e.to_string())),
     }
 }
 
-/// Reads the rest of a body beside its answer.
+/// Reads and discards the rest of a body in the background.
 fn discard(mut body: Incoming) {
     let discarding = async move { while let Some(Ok(_)) = body.frame().await {} };
     drop(tokio::spawn(time::timeout(LINGER, discarding)));
--- a/crates/runtime/src/thread_pool.rs
+++ b/crates/runtime/src/thread_pool.rs
@@ -1,7 +1,8 @@
-//! Bounded pool of threads that carry traffic.
+//! Bounded thread pool for blocking work: requests, calls of endpoints and store writes.
 //!
-//! One call at an endpoint occupies one thread for as long as its answer lasts, so the size of
-//! the pool bounds the calls in progress on the host.
+//! A job occupies one thread until it ends; a call of an endpoint ends with its answer. The size of
+//! the pool therefore bounds the number of jobs in progress. There is no queue: a job that finds no
+//! thread is refused.
 
 use std::io;
 use std::sync::Arc;
@@ -11,15 +12,15 @@
 
 use crossbeam::channel;
 
-/// Stack of a traffic thread, in bytes.
+/// Stack size of a thread, in bytes.
 const STACK_BYTES: usize = 256 * 1024;
 
-/// Time for which an idle thread is kept.
+/// Time after which an idle thread exits.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Bounded pool of threads.
+/// Bounded thread pool. Clones share the threads.
 #[derive(Clone)]
 pub struct Pool {
     shared: Arc<Shared>,
@@ -27,11 +28,11 @@
 
 struct Shared {
     name: &'static str,
-    /// Largest number of threads.
+    /// Maximum number of threads.
     limit: usize,
-    /// Threads that exist. Invariant: at most `limit`.
+    /// Number of threads. Invariant: at most `limit`.
     threads: AtomicUsize,
-    /// Threads that wait for a job.
+    /// Number of threads that wait for a job and are not claimed for one.
     idle: AtomicUsize,
     tx: channel::Sender<Job>,
     rx: channel::Receiver<Job>,
@@ -47,15 +48,15 @@
     }
 }
 
-/// The pool has as many jobs as it may run at once.
+/// Error of [`Pool::run`]: every thread is busy and the pool is at its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Full;
 
 impl Pool {
-    /// Makes a pool of at most `limit` threads.
+    /// Creates a pool of at most `limit` threads. Threads start when they are needed.
     #[must_use]
     pub fn new(name: &'static str, limit: usize) -> Self {
-        // The channel holds jobs only between their hand-over and an idle thread's wake-up.
+        // A job is in the channel only until the idle thread that was claimed for it wakes up.
         let (tx, rx) = channel::bounded(limit);
         let shared = Shared {
             name,
@@ -74,7 +75,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Full`] if every thread is busy and no more may be made.
+    /// Returns [`Full`] if every thread is busy and the pool is at its limit, or if the system
+    /// cannot start a thread.
     pub fn run<F>(&self, job: F) -> Result<(), Full>
     where
         F: FnOnce() + Send + 'static,
@@ -89,7 +91,7 @@
         self.spawn(Box::new(job)).map_err(|_| Full)
     }
 
-    /// Threads that run a job now.
+    /// Number of threads that run a job.
     #[must_use]
     pub fn busy(&self) -> usize {
         let threads = self.shared.threads.load(Ordering::Acquire);
@@ -110,7 +112,7 @@
 }
 
 impl Shared {
-    /// Takes one idle thread out of the count, if there is one.
+    /// Claims one idle thread. Returns false if there is none.
     fn claim_idle(&self) -> bool {
         self.idle
             .fetch_update(Ordering::AcqRel, Ordering::Acquire, |idle| {
@@ -119,7 +121,7 @@
             .is_ok()
     }
 
-    /// Counts one more thread, if there may be one.
+    /// Reserves a slot for a new thread. Returns false if the pool is at its limit.
     fn claim_thread(&self) -> bool {
         let claim = |threads| Some(threads + 1).filter(|&threads| threads <= self.limit);
         self.threads
@@ -135,7 +137,7 @@
             self.idle.fetch_add(1, Ordering::AcqRel);
             job = match self.rx.recv_timeout(IDLE_TIMEOUT) {
                 Ok(next) => next,
-                // A thread leaves only if no job was promised to it meanwhile.
+                // The thread exits only if no job has claimed it in the meantime.
                 Err(_) if self.claim_idle() => return,
                 Err(_) => match self.rx.recv() {
                     Ok(next) => next,
@@ -146,7 +148,7 @@
     }
 }
 
-/// Takes a thread out of the count also when its job panics.
+/// Decrements the thread count when a thread exits, also if its job panics.
 struct ThreadCountGuard<'a>(&'a AtomicUsize);
 
 impl Drop for ThreadCountGuard<'_> {
--- a/crates/runtime/src/wall_clock.rs
+++ b/crates/runtime/src/wall_clock.rs
@@ -1,8 +1,8 @@
-//! The time of day, for records that people read and for keys that carry it.
+//! Wall clock, for timestamps in records and in store keys.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Milliseconds of Unix time, or zero before 1970.
+/// Returns Unix time in milliseconds, or zero if the wall clock is set before 1970.
 #[must_use]
 pub fn now_ms() -> u64 {
     let span = SystemTime::now()
