--- a/crates/runtime/src/log/mod.rs
+++ b/crates/runtime/src/log/mod.rs
@@ -1,9 +1,9 @@
-//! Logs as JSON lines.
+//! Structured logging as JSON lines.
 //!
-//! Lines are written by a thread of their own through a bounded channel, so that a slow reader of
-//! the log holds up no request: when the channel is full, lines are dropped and their number is
-//! logged. What belongs to a request carries its id in the field `request`. No key, digest or
-//! credential is logged.
+//! A separate thread writes the lines, which it receives through a bounded channel, so that a slow
+//! reader of the log delays no request. When the channel is full, lines are dropped and their
+//! number is logged. Lines about a request carry its id in the field `request`. Keys, digests and
+//! credentials are never logged.
 
 use std::{fmt, io};
 
@@ -12,24 +12,24 @@
 
 use crate::settings;
 
-/// Lines that may wait to be written.
+/// Capacity of the channel to the writing thread, in lines.
 const CHANNEL_LINES: usize = 4_096;
 
 /// The log of one host.
 pub struct Log {
     logger: slog::Logger,
-    /// Writes the waiting lines when it is dropped.
+    /// Flushes the queued lines when it is dropped.
     guard: slog_async::AsyncGuard,
 }
 
 impl Log {
-    /// Opens the log of a host on standard error.
+    /// Opens the log of a host that writes to standard error.
     #[must_use]
     pub fn to_stderr(host: &settings::Host, level: slog::Level) -> Self {
         Self::to_writer(io::stderr(), host, level)
     }
 
-    /// Opens the log of a host on a writer.
+    /// Opens the log of a host that writes to `writer`.
     #[must_use]
     pub fn to_writer<W>(writer: W, host: &settings::Host, level: slog::Level) -> Self
     where
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Opens a log whose lines all carry the given fields.
+    /// Opens a log that adds the given fields to every line.
     #[must_use]
     pub fn with_fields<W, F>(writer: W, level: slog::Level, fields: slog::OwnedKV<F>) -> Self
     where
@@ -68,12 +68,12 @@
         }
     }
 
-    /// Logger of the host.
+    /// Logger without a request id.
     pub fn logger(&self) -> &slog::Logger {
         &self.logger
     }
 
-    /// Writes the waiting lines and closes the log.
+    /// Flushes the queued lines and closes the log.
     pub fn close(self) {
         drop(self.logger);
         drop(self.guard);
@@ -86,7 +86,7 @@
     }
 }
 
-/// Logger whose lines carry the id of a request.
+/// Returns a logger that adds the id of a request to every line.
 pub fn for_request(logger: &slog::Logger, id: request::RequestId) -> slog::Logger {
     logger.new(slog::o!("request" => id.to_string()))
 }
--- a/crates/runtime/src/metrics/mod.rs
+++ b/crates/runtime/src/metrics/mod.rs
@@ -1,7 +1,7 @@
-//! Metrics of one host, in the text format of Prometheus.
+//! Metrics of one host, exported in the Prometheus text format.
 //!
-//! Every refusal and retry reason has its counter from the start, at zero, so that a rate can be
-//! computed from the first event on. Durations are in seconds.
+//! The counter of every refusal and retry reason starts at zero instead of appearing with the first
+//! event, so that a rate can be computed from the first event on. Durations are in seconds.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,15 +12,15 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use pistachiochute_core::{outcome, reason};
 
-/// Name of the meter, which the metrics show as their scope.
+/// Name of the meter, exported as the scope of the metrics.
 const METER: &str = "pistachiochute";
 
-/// Upper bounds of the buckets of the time to the first token, in seconds.
+/// Histogram buckets of the time to the first token: upper bounds in seconds.
 const FIRST_TOKEN_BUCKETS: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.48, 0.75, 1.0, 2.5, 5.0, 10.0,
 ];
 
-/// Upper bounds of the buckets of the time between two tokens, in seconds.
+/// Histogram buckets of the time between two tokens: upper bounds in seconds.
 const TOKEN_GAP_BUCKETS: [f64; 10] = [0.002, 0.005, 0.01, 0.018, 0.026, 0.04, 0.08, 0.2, 1.0, 5.0];
 
 /// Direction of bytes on the links between hosts.
@@ -44,9 +44,9 @@
 /// Kind of traffic on the links between hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Traffic {
-    /// Requests of callers and their answers.
+    /// Forwarded requests of callers, and their answers.
     Forwarded,
-    /// Everything else.
+    /// All other messages.
     Control,
 }
 
@@ -59,22 +59,22 @@
     }
 }
 
-/// What a host believes, as the metrics show it.
+/// State of a host as it sees itself and the fleet, exported as the metric `beliefs`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HostState {
-    /// Version of the catalog in force, or 0.
+    /// Version of the catalog in force, or 0 if there is none.
     pub catalog_version: u64,
-    /// Endpoints that take new requests.
+    /// Endpoints that accept new requests.
     pub endpoints: u64,
-    /// Hosts of the fleet that serve.
+    /// Live hosts of the fleet, exported as `hosts_serving`.
     pub live_hosts: u64,
-    /// Other hosts that spoke lately.
+    /// Other hosts from which messages arrived recently, exported as `hosts_heard`.
     pub live_peers: u64,
     /// Whether the store answered the last call.
     pub store_answers: bool,
 }
 
-/// Instruments of one host. Clones share the instruments and can be used on any thread.
+/// Instruments of one host. Clones share the instruments and may be used from any thread.
 #[derive(Clone)]
 pub struct Metrics {
     registry: prometheus::Registry,
@@ -93,7 +93,7 @@
 }
 
 impl Metrics {
-    /// Makes the instruments of one host.
+    /// Creates the instruments of one host.
     ///
     /// # Errors
     ///
@@ -150,12 +150,12 @@
         self.refusals.add(1, &[label("reason", reason.as_str())]);
     }
 
-    /// Counts an attempt that follows another.
+    /// Counts a retry, by the reason for it.
     pub fn retried(&self, reason: reason::Retry) {
         self.retries.add(1, &[label("reason", reason.as_str())]);
     }
 
-    /// Counts a request that begins.
+    /// Counts the start of a request.
     pub fn started(&self) {
         self.in_flight.add(1, &[]);
     }
@@ -195,12 +195,12 @@
         self.link_bytes.add(bytes, &labels);
     }
 
-    /// Counts that the store ceased to answer.
+    /// Counts a transition of the store from answering to not answering.
     pub fn store_lost(&self) {
         self.store_losses.add(1, &[]);
     }
 
-    /// Shows what the host believes.
+    /// Sets the gauges of the host's state.
     pub fn record_host_state(&self, state: &HostState) {
         let rows = [
             ("catalog_version", state.catalog_version),
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Writes the metrics in the text format of Prometheus.
+    /// Renders the metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
@@ -225,7 +225,8 @@
             .wrap_err("metrics")
     }
 
-    /// Disconnects the instruments from the registry. Clones go on but are no longer shown.
+    /// Disconnects the instruments from the registry. Clones can still be used, but their values
+    /// are no longer exported.
     ///
     /// # Errors
     ///
--- a/crates/runtime/src/platform/etcd/mod.rs
+++ b/crates/runtime/src/platform/etcd/mod.rs
@@ -1,4 +1,4 @@
-//! Key-value service over the JSON form of the etcd v3 API.
+//! Client of the key-value service over the JSON form of the etcd v3 API.
 
 mod watch;
 mod wire;
@@ -12,19 +12,19 @@
 
 use crate::platform::{http, key_value};
 
-/// Longest answer, in bytes: base64 of a few dozen values of a megabyte.
+/// Largest answer, in bytes. Holds a few dozen values of a megabyte in base64.
 const MAX_ANSWER_BYTES: u64 = 64 << 20;
 
 /// Settings of the client.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Addresses of the service. The next one is taken when a connection cannot be made.
+    /// Addresses of the service. When a connection fails, the client goes on to the next one.
     pub addrs: Vec<SocketAddr>,
-    /// Longest time of a call until its answer is whole.
+    /// Longest time of a call until its answer is complete.
     pub call_timeout: Duration,
-    /// Longest silence of a watch before it connects again.
+    /// Time without data after which a watch reconnects.
     pub watch_idle: Duration,
-    /// Pause before a watch connects again.
+    /// Delay before a watch reconnects.
     pub watch_retry: Duration,
 }
 
@@ -32,12 +32,12 @@
 #[derive(Clone, Debug)]
 pub struct Etcd {
     cfg: Arc<Settings>,
-    /// Index of the address that was connected last.
+    /// Index of the address to try first: the last one that could be connected.
     current: Arc<AtomicUsize>,
 }
 
 impl Etcd {
-    /// Makes a client. Nothing is connected before the first call.
+    /// Creates a client. It does not connect before the first call.
     #[must_use]
     pub fn new(cfg: Settings) -> Self {
         Self {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Sends a call to the address that was connected last, or to the next that can be.
+    /// Sends a call with `f` to the last address that could be connected, or else to the next ones.
     fn send<T, F>(&self, mut f: F) -> Result<T, key_value::Error>
     where
         F: FnMut(SocketAddr) -> Result<T, http::Failure>,
--- a/crates/runtime/src/platform/etcd/watch.rs
+++ b/crates/runtime/src/platform/etcd/watch.rs
@@ -1,13 +1,13 @@
-//! Watch of keys on a thread of its own.
+//! Watch of keys on its own thread.
 //!
-//! The thread reads one message a line, delivers it to a bounded channel, and connects again from
-//! the revision after the last that it delivered. When the history there is gone, or the store has
-//! gone back to an older revision, it says so and goes on from the present. A connection that is
-//! silent for longer than the set time is given up, so that one that lost its peer costs no more
-//! than that.
+//! The thread reads one message per line and delivers it to a bounded channel. After a lost
+//! connection it reconnects from the revision after the last one delivered. If that revision has
+//! been compacted, or the store was restored to an older revision, it delivers a reset and
+//! continues from the current revision. A connection without data for the idle timeout is closed,
+//! which limits the delay that a dead connection can cause.
 //!
-//! A store that was restored to an older revision and has since passed the last one that was seen
-//! cannot be told from one that was not; what depends on that compares contents.
+//! A restore goes undetected if the store has since passed the last revision that the watch saw.
+//! Code that must notice such a restore compares contents instead.
 
 use std::io::{BufRead as _, BufReader, Read as _};
 use std::sync::Arc;
@@ -22,13 +22,13 @@
 use crate::platform::key_value::{self, Error, WatchEvent};
 use crate::platform::{etcd, http};
 
-/// Messages that wait to be taken; the thread stops reading beyond them.
+/// Capacity of the channel of events. The thread stops reading while the channel is full.
 const MAX_QUEUED_EVENTS: usize = 256;
 
-/// Longest message, in bytes.
+/// Largest message, in bytes.
 const MAX_MESSAGE_BYTES: u64 = 64 << 20;
 
-/// Longest sleep between two looks at whether the watch is closed.
+/// Interval at which a waiting thread checks whether the watch is closed.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Starts a watch of `keys` from revision `from` on.
@@ -39,7 +39,8 @@
 ) -> eyre::Result<key_value::Watch> {
     let (tx, events) = channel::bounded(MAX_QUEUED_EVENTS);
     let closed = Arc::new(AtomicBool::new(false));
-    // Revision 0 of the API means the present, which a watch that connects again would miss.
+    // In the API, revision 0 starts at the current revision. A watch that reconnects before its
+    // first event would then miss the changes in between.
     let next_revision = Revision(from.0.max(1));
     let watcher = Watcher {
         client,
@@ -54,7 +55,7 @@
     Ok(key_value::Watch::new(events, closed))
 }
 
-/// State of the thread of a watch.
+/// State of the watch thread.
 struct Watcher {
     client: etcd::Etcd,
     keys: key_value::Keys,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Delivers an event. Returns false if nobody takes events any more.
+    /// Delivers an event. Returns false if the watch is closed or its receiver was dropped.
     fn deliver(&self, event: WatchEvent) -> bool {
         let mut event = event;
         while !self.is_closed() {
@@ -103,7 +104,7 @@
         false
     }
 
-    /// Reads one connection. `Ok` means that the watch is closed.
+    /// Reads messages from one connection. Returns `Ok` when the watch is closed.
     fn read_connection(&mut self) -> Result<(), Error> {
         let mut reader = BufReader::new(self.connect()?);
         let mut line = Vec::new();
@@ -117,7 +118,7 @@
             })?;
             if line.last() != Some(&b'\n') {
                 return Err(Error::Unknown {
-                    reason: "the watch was cut".to_owned(),
+                    reason: "watch stream truncated".to_owned(),
                 });
             }
             let message: etcd::wire::WatchMessage = etcd::wire::parse(&line)?;
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Takes one message. Returns false if nobody takes events any more.
+    /// Handles one message. Returns false if the watch is closed or its receiver was dropped.
     fn handle(&mut self, message: etcd::wire::WatchResult) -> Result<bool, Error> {
         let revision = message.header.revision()?;
         let rewound = revision.0 + 1 < self.next_revision.0;
@@ -157,7 +158,7 @@
                 return Ok(false);
             }
             return Err(Error::Unknown {
-                reason: "the watch starts anew".to_owned(),
+                reason: "watch restarted after a reset".to_owned(),
             });
         }
         if message.created {
@@ -168,7 +169,7 @@
             self.next_revision = Revision(revision.0 + 1);
             return Ok(self.deliver(WatchEvent::Progress(revision)));
         };
-        // The header may be ahead of the changes while the watch catches up.
+        // While the watch catches up, the revision of the header is ahead of the changes.
         let revision = last.revision();
         self.next_revision = Revision(revision.0 + 1);
         Ok(self.deliver(WatchEvent::Changes { revision, changes }))
--- a/crates/runtime/src/platform/etcd/wire.rs
+++ b/crates/runtime/src/platform/etcd/wire.rs
@@ -1,6 +1,7 @@
-//! Requests and answers of the etcd v3 API as JSON.
+//! JSON encoding of requests and answers of the etcd v3 API.
 //!
-//! Bytes are base64, 64-bit numbers are strings, and fields that are zero may be missing.
+//! Byte strings are encoded as base64 and 64-bit numbers as strings; fields with a zero value may
+//! be missing.
 
 use std::time::Duration;
 
@@ -35,7 +36,7 @@
     parse_u64(text).map(Revision)
 }
 
-/// An answer that cannot be read proves nothing about the effect of its call.
+/// Error of an answer that cannot be decoded. It says nothing about whether the call took effect.
 fn malformed<E>(err: &E) -> Error
 where
     E: std::fmt::Display,
@@ -59,9 +60,9 @@
     message: String,
 }
 
-/// Error of an answer with another status than 200.
+/// Error of an answer with a status other than 200.
 ///
-/// A status of 400 to 499 says that the call was not carried out. A server error may follow a
+/// A status from 400 to 499 means that the call had no effect. A server error can be sent for a
 /// proposal that still takes effect, for instance when the leader changes.
 pub(super) fn status_error(status: u16, body: &[u8]) -> Error {
     let body: ErrorBody = serde_json::from_slice(body).unwrap_or_default();
@@ -76,7 +77,7 @@
     }
 }
 
-/// First key after all that start with `prefix`, as the API states the end of a range.
+/// Exclusive end of the key range that holds all keys with `prefix`.
 fn prefix_end(prefix: &Bytes) -> Bytes {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
@@ -85,7 +86,7 @@
             return end.into();
         }
     }
-    // One zero byte stands for the end of the key space.
+    // In the API, a single zero byte means the end of the key space.
     Bytes::from_static(&[0])
 }
 
@@ -231,7 +232,7 @@
             .filter_map(|op| op.response_range);
         let ranges: Result<Vec<key_value::RangeResult>, _> =
             answers.map(TryInto::try_into).collect();
-        // Answers inside a transaction need not repeat its header.
+        // The answers inside a transaction may lack a header.
         let mut ranges = ranges?;
         ranges
             .iter_mut()
@@ -257,7 +258,7 @@
         key_value::LeaseId(self.id)
     }
 
-    /// Time until the lease lapses; `None` if it has.
+    /// Time until the lease expires, or `None` if it has expired.
     pub(super) fn remaining(&self) -> Option<Duration> {
         let secs = u64::try_from(self.ttl).ok().filter(|secs| *secs > 0);
         secs.map(Duration::from_secs)
@@ -269,7 +270,7 @@
     pub(super) result: LeaseAnswer,
 }
 
-/// Number that JSON carries as a string.
+/// Deserializes a number that JSON encodes as a string.
 mod text_number {
     use serde::de::Error as _;
 
@@ -312,7 +313,7 @@
     }
 }
 
-/// One message of a watch.
+/// One message of a watch stream.
 #[derive(Debug, serde::Deserialize)]
 pub(super) struct WatchMessage {
     pub(super) result: WatchResult,
--- a/crates/runtime/src/platform/host_list.rs
+++ b/crates/runtime/src/platform/host_list.rs
@@ -1,4 +1,4 @@
-//! Reads of the platform's host list.
+//! Client of the platform's host list.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,18 +8,18 @@
 
 use crate::platform::http;
 
-/// Longest host list, in bytes.
+/// Largest host list, in bytes.
 const MAX_LIST_BYTES: u64 = 4 << 20;
 
 /// Why the host list could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// The platform cannot be reached, or its answer is not whole.
+    /// The platform cannot be reached, or its answer is incomplete.
     Unreachable {
         /// What went wrong.
         reason: String,
     },
-    /// The platform answered with another status than 200.
+    /// The platform answered with a status other than 200.
     Status(u16),
     /// The answer is not a host list.
     Malformed {
@@ -40,7 +40,7 @@
 
 impl std::error::Error for Error {}
 
-/// Reader of the host list.
+/// Client that reads the host list.
 #[derive(Clone, Copy, Debug)]
 pub struct HostListSource {
     addr: SocketAddr,
@@ -48,7 +48,7 @@
 }
 
 impl HostListSource {
-    /// Makes a reader of the host list at `addr` whose reads take `timeout` at most.
+    /// Creates a client of the host list at `addr`. Each read takes `timeout` at most.
     #[must_use]
     pub const fn new(addr: SocketAddr, timeout: Duration) -> Self {
         Self { addr, timeout }
@@ -58,7 +58,8 @@
     ///
     /// # Errors
     ///
-    /// The platform cannot be reached, or its answer is cut, larger than 4 MiB or malformed.
+    /// Returns an error if the platform cannot be reached, or if its answer has a status other than
+    /// 200, or is truncated, malformed or larger than 4 MiB.
     pub fn read(&self) -> Result<topology::HostList, Error> {
         let limits = http::Limits {
             timeout: self.timeout,
--- a/crates/runtime/src/platform/http.rs
+++ b/crates/runtime/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to the platform with bounded time and size.
+//! HTTP calls to the platform with limits on time and size.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,35 +13,35 @@
 /// Limits of one call.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
-    /// Longest time until the answer is whole.
+    /// Longest time until the answer is complete.
     pub(super) timeout: Duration,
-    /// Longest answer, in bytes.
+    /// Largest answer, in bytes.
     pub(super) max_bytes: u64,
 }
 
-/// Why a call has no whole answer.
+/// Why a call has no complete answer.
 #[derive(Debug)]
 pub(super) enum Failure {
-    /// No connection was made.
+    /// The request was not sent.
     NotSent(io::Error),
-    /// The call was sent, at least in part.
+    /// The request was sent, at least in part.
     Sent(String),
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub(super) struct Answer {
     pub(super) status: u16,
     pub(super) body: Bytes,
 }
 
-/// Sends a `GET`.
+/// Sends a `GET` and reads the answer.
 pub(super) fn get(addr: SocketAddr, path: &str, limits: Limits) -> Result<Answer, Failure> {
     let req = Request::get(path).body(Full::default());
     read_all(req, addr, limits)
 }
 
-/// Sends a `POST` with a JSON body.
+/// Sends a `POST` with a JSON body and reads the answer.
 pub(super) fn post(
     addr: SocketAddr,
     path: &str,
@@ -51,7 +51,8 @@
     read_all(json(path, body), addr, limits)
 }
 
-/// Sends a `POST` whose answer is a stream that may be silent for `idle` at most.
+/// Sends a `POST` whose answer is an endless stream. Reading the stream fails after `idle` without
+/// data.
 pub(super) fn post_stream(
     addr: SocketAddr,
     path: &str,
@@ -86,9 +87,11 @@
     })
 }
 
-/// Sends a request and reads its answer to the end. The client checks the declared length of a
-/// body and the last chunk of a chunked one. All answers of the platform are JSON objects, and no
-/// beginning of a JSON object is one itself, so parsing them detects the remaining cuts.
+/// Sends a request and reads its answer to the end.
+///
+/// The HTTP client detects a body that is shorter than its declared length or that lacks its last
+/// chunk. A body that ends with its connection can be truncated without an error, but all answers
+/// of the platform are JSON objects, and no proper prefix of a JSON object parses as one.
 fn read_all(
     req: http::Result<Request<Full<Bytes>>>,
     addr: SocketAddr,
--- a/crates/runtime/src/platform/key_value.rs
+++ b/crates/runtime/src/platform/key_value.rs
@@ -1,4 +1,4 @@
-//! What the fleet needs of the platform's key-value service.
+//! Interface of the platform's key-value service, as far as the fleet uses it.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -11,23 +11,23 @@
 use crossbeam::channel;
 use pistachiochute_core::revision::Revision;
 
-/// Why a call failed, by what is known of its effect.
+/// Why a call failed, by whether it may have taken effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// No connection was made, so the call had no effect.
+    /// The call was not sent, so it had no effect.
     NotSent {
         /// What went wrong.
         reason: String,
     },
-    /// The service answered that it did not carry the call out.
+    /// The service refused the call, so it had no effect.
     Refused {
         /// HTTP status of the answer.
         status: u16,
         /// Message of the answer.
         message: String,
     },
-    /// The call was sent and its answer is missing or cannot be used: it may have taken effect,
-    /// and it may still take effect later.
+    /// The call was sent, but its answer is missing or unusable: it may have taken effect, or may
+    /// still take effect later.
     Unknown {
         /// What went wrong.
         reason: String,
@@ -35,7 +35,7 @@
 }
 
 impl Error {
-    /// Makes the error of a call whose effect is unknown.
+    /// Creates the error of a call whose effect is unknown.
     #[must_use]
     pub fn unknown<R>(reason: R) -> Self
     where
@@ -91,7 +91,7 @@
     }
 }
 
-/// Keys that a call is about.
+/// Keys that a call reads, deletes or watches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Keys {
     /// One key.
@@ -111,18 +111,18 @@
     pub created: Revision,
     /// Revision of the last write of the key.
     pub modified: Revision,
-    /// Writes of the key since it was created.
+    /// Number of writes of the key since it was created.
     pub version: u64,
-    /// Lease that removes the entry when it lapses.
+    /// Lease that removes the entry when it expires.
     pub lease: Option<LeaseId>,
 }
 
-/// Entries that a read found.
+/// Result of a range read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RangeResult {
-    /// Revision of the store that the read saw.
+    /// Revision of the store at which the entries were read.
     pub revision: Revision,
-    /// Entries in the order of their keys.
+    /// Entries, ordered by key.
     pub entries: Vec<Entry>,
 }
 
@@ -146,14 +146,15 @@
         key: Bytes,
         /// Value of the entry, up to a megabyte.
         value: Bytes,
-        /// Lease that removes the entry when it lapses.
+        /// Lease that removes the entry when it expires.
         lease: Option<LeaseId>,
     },
     /// Removes entries.
     Delete(Keys),
 }
 
-/// Transaction: if all compares hold, the first operations are carried out, else the others.
+/// Transaction: executes the operations in `success` if all compares hold, otherwise those in
+/// `failure`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
     /// Conditions.
@@ -164,14 +165,15 @@
     pub failure: Vec<Op>,
 }
 
-/// Answer to a transaction.
+/// Result of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TxnResult {
-    /// Revision of the store after the transaction; that of its writes, if it wrote.
+    /// Revision of the store after the transaction. If it wrote, this is the revision of its
+    /// writes.
     pub revision: Revision,
     /// Whether all conditions held.
     pub succeeded: bool,
-    /// Answers to the [`Op::Range`] operations that were carried out, in their order.
+    /// Results of the [`Op::Range`] operations that were executed, in their order.
     pub ranges: Vec<RangeResult>,
 }
 
@@ -203,22 +205,23 @@
 /// What a watch delivers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// Keys changed. All changes up to and with `revision` have been delivered.
+    /// Keys changed. All changes up to and including `revision` have been delivered.
     Changes {
         /// Revision of the last change.
         revision: Revision,
-        /// The changes, in the order of their revisions.
+        /// The changes, ordered by revision.
         changes: Vec<Change>,
     },
-    /// Nothing more changed up to and with this revision.
+    /// No further key changed up to and including this revision.
     Progress(Revision),
-    /// Changes are missing, since the history is gone or the store went back to an older revision:
-    /// the keys must be read again. The watch goes on after `revision`.
+    /// Changes were missed, because the history was compacted or the store was restored to an older
+    /// revision: the keys must be read again. The watch continues after `revision`.
     Reset {
-        /// Revision of the store at the time.
+        /// Revision of the store at the reset.
         revision: Revision,
     },
-    /// The connection was lost. The watch connects again by itself and misses nothing.
+    /// The connection was lost. The watch reconnects by itself and misses no change, unless a
+    /// [`WatchEvent::Reset`] follows.
     Lost(Error),
 }
 
@@ -230,7 +233,7 @@
 }
 
 impl Watch {
-    /// Makes the receiving side of a watch whose source stops when `closed` is set.
+    /// Creates the receiving side of a watch whose source stops when `closed` is set.
     #[must_use]
     pub const fn new(events: channel::Receiver<WatchEvent>, closed: Arc<AtomicBool>) -> Self {
         Self { events, closed }
@@ -242,8 +245,8 @@
         &self.events
     }
 
-    /// Ends the watch. Its thread ends with the next message, or when the connection has been
-    /// silent for the set time.
+    /// Closes the watch. Its thread ends with the next message, or when the idle timeout of the
+    /// connection has passed.
     pub fn close(self) {
         self.closed.store(true, Ordering::Relaxed);
     }
@@ -251,31 +254,32 @@
 
 /// The key-value service of the platform.
 ///
-/// Calls block for a bounded time. Implementations are shared between threads.
+/// Calls block for a bounded time. Implementations can be shared between threads.
 pub trait KeyValue: Send + Sync {
     /// Reads entries.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; a read has no effect in any case.
+    /// Any [`Error`]; a read never has an effect.
     fn range(&self, keys: &Keys) -> Result<RangeResult, Error>;
 
-    /// Carries out a transaction.
+    /// Executes a transaction.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] if the transaction may have taken effect or may yet; otherwise it had
-    /// no effect.
+    /// [`Error::Unknown`] if the transaction may have taken effect or still may. After any other
+    /// error it had no effect.
     fn txn(&self, txn: &Txn) -> Result<TxnResult, Error>;
 
-    /// Grants a lease that lapses after `ttl` (in whole seconds) without renewal.
+    /// Grants a lease that expires after `ttl` without renewal. The service counts in whole
+    /// seconds.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; a lease that was granted although its answer was lost lapses by itself.
+    /// Any [`Error`]; a lease whose answer was lost expires by itself.
     fn grant(&self, ttl: Duration) -> Result<LeaseId, Error>;
 
-    /// Renews a lease. Returns the time until it lapses, or `None` if it has lapsed.
+    /// Renews a lease. Returns the time until it expires, or `None` if it has expired.
     ///
     /// # Errors
     ///
@@ -289,7 +293,7 @@
     /// Any [`Error`]; a lease that does not exist is [`Error::Refused`].
     fn revoke(&self, lease: LeaseId) -> Result<(), Error>;
 
-    /// Watches keys from revision `from` on, on a thread of its own.
+    /// Watches keys from revision `from` on. The watch runs on its own thread.
     ///
     /// # Errors
     ///
