--- a/crates/runtime/src/admin/edits.rs
+++ b/crates/runtime/src/admin/edits.rs
@@ -1,4 +1,4 @@
-//! Reads and edits of the lists.
+//! Admin requests that read and edit the lists.
 
 use std::str::FromStr;
 
@@ -12,10 +12,10 @@
 use crate::lists::store;
 use crate::settings;
 
-/// Delay after which an operator may come back while the store is down.
+/// `Retry-After` of a request that failed because the store is unavailable.
 const STORE_RETRY_DELAY: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// Both lists, with the revision of each entry.
+/// Returns both lists, with the revision of each entry.
 pub fn get_lists(cx: &Context) -> Reply {
     match cx.editor.store().read() {
         Ok(read) => Reply::json(
@@ -30,7 +30,7 @@
     }
 }
 
-/// One entry with its revision.
+/// Returns one entry with its revision.
 pub fn get_entry(cx: &Context, list: &str, name: &str) -> Reply {
     let read = match cx.editor.store().read() {
         Ok(read) => read,
@@ -67,7 +67,7 @@
         .with_retry_after(STORE_RETRY_DELAY)
 }
 
-/// The last edits, newest first.
+/// Returns the most recent edits, newest first.
 pub fn history(cx: &Context) -> Reply {
     match cx.editor.store().history() {
         Ok(mut records) => {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Whether an edit whose answer was lost was recorded.
+/// Returns whether an edit whose answer was lost was recorded.
 pub fn resolve(cx: &Context, id: storage::EditId) -> Reply {
     match cx.editor.resolve(id) {
         Resolved::Recorded(record) => {
@@ -94,7 +94,7 @@
     }
 }
 
-/// What an edit of one entry is based on.
+/// Parses the revision that an edit of one entry is based on from the conditional headers.
 pub fn parse_base(if_match: Option<String>, if_none_match: Option<String>) -> Result<Base, Reply> {
     match (if_match, if_none_match.as_deref()) {
         (Some(text), None) => parse_revision(&text).map(Base::Entry),
--- a/crates/runtime/src/admin/mod.rs
+++ b/crates/runtime/src/admin/mod.rs
@@ -1,13 +1,14 @@
-//! The side of the host that operators and the collector of metrics speak to.
+//! Admin API: requests of operators, health checks and metrics collectors.
 //!
-//! | request | what it does |
+//! | request | effect |
 //! |---|---|
-//! | `GET /healthz`, `/readyz`, `/metrics` | health, readiness, metrics; need no credential |
-//! | `GET /v1/status` | state of the host and how far its lists have come; `?revision=rN` for another |
+//! | `GET /healthz`, `/readyz`, `/metrics` | health, readiness, metrics; no credential needed |
+//! | `GET /v1/status` | state of the host and of its lists; `?revision=rN` for another revision |
 //! | `GET /v1/lists` | both lists with the revision of each entry |
-//! | `PUT /v1/lists` | whole lists, with `If-Match: rN` |
-//! | `GET`, `PUT`, `DELETE /v1/lists/{accounts,plans}/NAME` | one entry, with `If-Match: rN` or `If-None-Match: *` |
-//! | `GET /v1/history` | the last edits, newest first |
+//! | `PUT /v1/lists` | replaces both lists, with `If-Match: rN` |
+//! | `GET /v1/lists/{accounts,plans}/NAME` | one entry |
+//! | `PUT`, `DELETE` on the same path | with `If-Match: rN`, or `If-None-Match: *` if it is new |
+//! | `GET /v1/history` | the most recent edits, newest first |
 //! | `GET /v1/edits/ID` | whether an edit whose answer was lost was recorded |
 
 mod edits;
@@ -21,16 +22,16 @@
 use crate::lists::editor;
 use crate::{control, listener, metrics, settings};
 
-/// What the threads that serve operators share.
+/// State shared by the threads that serve admin requests.
 #[derive(Debug)]
 pub struct Context {
     /// Settings of the host.
     pub settings: Arc<settings::Settings>,
-    /// Requests to the control thread.
+    /// Handle of the control thread.
     pub control: control::Handle,
-    /// Edits of the lists.
+    /// Makes edits of the lists.
     pub editor: editor::Editor,
-    /// Counters of the host.
+    /// Metrics of the host.
     pub metrics: metrics::Metrics,
     /// Log of the host.
     pub log: slog::Logger,
--- a/crates/runtime/src/admin/reply.rs
+++ b/crates/runtime/src/admin/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to operators.
+//! Responses of the admin API.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 
 use crate::listener;
 
-/// Type of a text that Prometheus reads.
+/// Content type of the Prometheus text format.
 const METRICS_TYPE: &str = "text/plain; version=0.0.4";
 
-/// An answer to an operator.
+/// A response to an operator.
 #[derive(Clone, Debug)]
 pub struct Reply {
     status: u16,
@@ -21,7 +21,7 @@
 }
 
 impl Reply {
-    /// A JSON answer.
+    /// Creates a JSON response.
     pub fn json(status: u16, value: &Value) -> Self {
         let body = format!("{value:#}\n");
         Self {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A line of text.
+    /// Creates a plain-text response.
     pub fn text(status: u16, text: &str) -> Self {
         Self {
             status,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Metrics for Prometheus.
+    /// Creates a response with metrics in the Prometheus text format.
     pub fn metrics(text: String) -> Self {
         Self {
             status: 200,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// An error with its reason code.
+    /// Creates an error response with a reason code.
     pub fn error<M>(reason: reason::Refusal, message: M) -> Self
     where
         M: Into<String>,
@@ -60,7 +60,7 @@
         Self::error_with(reason, message, json!({}))
     }
 
-    /// An error with its reason code and further fields beside the message.
+    /// Creates an error response with a reason code and further fields.
     pub fn error_with<M>(reason: reason::Refusal, message: M, fields: Value) -> Self
     where
         M: Into<String>,
@@ -71,7 +71,7 @@
         Self::json(reason.status(), &json!({ "error": error }))
     }
 
-    /// The answer of a host that serves as many operators as it may.
+    /// Creates the response of a host that has no thread free for another admin request.
     pub fn busy() -> Self {
         Self {
             retry_after: Some(Duration::from_secs(1)),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The answer with a delay after which the operator may come back.
+    /// Adds a `Retry-After` header.
     pub fn with_retry_after(self, delay: Duration) -> Self {
         Self {
             retry_after: Some(delay),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Sends the answer.
+    /// Sends the response.
     pub fn send(self, answer: listener::Answer) {
         let mut response = http::Response::new(Bytes::from(self.body));
         *response.status_mut() =
@@ -99,7 +99,7 @@
             let seconds = http::HeaderValue::from(delay.as_secs().max(1));
             headers.insert(http::header::RETRY_AFTER, seconds);
         }
-        // The operator may be gone, which nobody needs to know.
+        // Errors are ignored: the operator may have disconnected.
         let _ = answer.send(response);
     }
 }
--- a/crates/runtime/src/admin/route.rs
+++ b/crates/runtime/src/admin/route.rs
@@ -1,4 +1,4 @@
-//! Which request does what.
+//! Routing of admin requests.
 
 use std::str::FromStr;
 
@@ -10,10 +10,10 @@
 use crate::admin::{Context, edits, reply::Reply};
 use crate::{listener, settings};
 
-/// Largest body of an operator, in bytes. Both lists of the size to design for take a tenth.
+/// Largest body of an admin request, in bytes. Both lists of the design size take a tenth of it.
 pub const MAX_BODY_BYTES: u64 = 1 << 20;
 
-/// Answers a request.
+/// Handles a request and returns its response.
 pub fn handle(cx: &Context, req: &listener::Request) -> Reply {
     let path = req.path();
     let query = req.head.uri.query().unwrap_or("");
--- a/crates/runtime/src/settings/credentials.rs
+++ b/crates/runtime/src/settings/credentials.rs
@@ -1,4 +1,4 @@
-//! Credentials of operators and of the links between hosts.
+//! Credentials for operators and for the links between hosts.
 
 use std::collections::BTreeSet;
 
@@ -7,15 +7,15 @@
 
 use crate::settings::{self, reader, secret};
 
-/// Text that stands for every name in a [`Scope`].
+/// Wildcard for all names in a [`Scope`].
 const ALL_NAMES: &str = "*";
 
 /// Names that an operator may edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Scope<T> {
-    /// Every name.
+    /// All names.
     All,
-    /// These names.
+    /// Only these names.
     Only(BTreeSet<T>),
 }
 
@@ -23,7 +23,7 @@
 where
     T: Ord,
 {
-    /// Whether the scope holds the name.
+    /// Whether the scope includes the name.
     #[must_use]
     pub fn contains(&self, name: &T) -> bool {
         match self {
@@ -33,10 +33,10 @@
     }
 }
 
-/// An operator and what it may edit.
+/// An operator and the names that it may edit.
 #[derive(Clone, Debug)]
 pub struct Operator {
-    /// Name of the operator, which the history of edits shows.
+    /// Name of the operator, recorded in the history of edits.
     pub name: name::OperatorName,
     /// Digest of the operator's credential.
     pub digest: lists::KeyDigest,
@@ -49,7 +49,7 @@
 /// Credentials that the host accepts.
 #[derive(Clone, Debug)]
 pub struct Credentials {
-    /// Secret that the hosts of the fleet share for the links between them.
+    /// Secret shared by all hosts of the fleet to authenticate links.
     pub link: secret::Secret,
     /// Operators. Invariant: names and digests are unique.
     pub operators: Vec<Operator>,
--- a/crates/runtime/src/settings/document.rs
+++ b/crates/runtime/src/settings/document.rs
@@ -1,18 +1,18 @@
-//! JSON documents in which no field is given twice.
+//! Parser for JSON documents that rejects duplicate fields.
 //!
-//! `serde_json::Value` keeps the last of two fields with one name, which would hide a slip in the
-//! settings.
+//! `serde_json::Value` keeps the last of two fields with the same name, which would hide a mistake
+//! in the settings.
 
 use std::fmt;
 
 use serde::de::{self, Error as _};
 use serde_json::{Map, Value};
 
-/// Parses a JSON document and refuses fields that are given twice.
+/// Parses a JSON document and rejects duplicate fields.
 ///
 /// # Errors
 ///
-/// Returns an error with its line and column if the text is not JSON or gives a field twice.
+/// Returns an error with line and column if the text is not valid JSON or repeats a field.
 pub(super) fn parse(text: &str) -> Result<Value, serde_json::Error> {
     let Document(value) = serde_json::from_str(text)?;
     Ok(value)
--- a/crates/runtime/src/settings/finding.rs
+++ b/crates/runtime/src/settings/finding.rs
@@ -1,13 +1,13 @@
-//! Faults that were found in the settings.
+//! Faults found in the settings.
 
 use std::fmt;
 
-/// A fault and the place where it stands.
+/// A fault and its place in the settings.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
     /// JSON path of the faulty value, such as `$.bounds.body_bytes`; `$` is the whole document.
     pub place: String,
-    /// What is wrong with the value. Never holds the value of a secret.
+    /// Description of the fault. Never contains the value of a secret.
     pub fault: String,
 }
 
--- a/crates/runtime/src/settings/mod.rs
+++ b/crates/runtime/src/settings/mod.rs
@@ -1,10 +1,10 @@
-//! Settings of the daemon, read from JSON and checked whole.
+//! Settings of the daemon, read from JSON and fully validated.
 //!
-//! [`Settings::parse`] reports every fault that it finds, each with its JSON path. Unknown fields,
-//! wrong types, values out of range and values that contradict each other are all findings.
+//! [`Settings::parse`] reports every fault, not only the first, each with its JSON path. Unknown
+//! fields, wrong types, values out of range and contradictory values are all findings. The sections
 //! `host`, `listen`, `platform` and `credentials` are required; the other sections and each of
-//! their fields have defaults, which are declared in one place per section. The settings page for
-//! operators is `docs/operators/settings.md`.
+//! their fields have defaults, which are declared in one place per section. Operators find the
+//! settings documented in `docs/operators/settings.md`.
 
 mod credentials;
 mod document;
@@ -25,16 +25,16 @@
 /// Longest display name of a host, in bytes.
 pub const MAX_DISPLAY_NAME_LEN: usize = 64;
 
-/// Place of a host in the fleet.
+/// Identity and location of a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Host {
-    /// Id of the host, as the host list of the platform shows it.
+    /// Id of the host in the host list of the platform.
     pub id: entity::HostId,
     /// Failure domain of the host.
     pub domain: entity::DomainId,
     /// Region of the failure domain.
     pub region: entity::RegionId,
-    /// Name that logs show beside the id.
+    /// Display name that log lines carry in addition to the id.
     pub name: Option<String>,
 }
 
@@ -56,14 +56,14 @@
     pub key_value: Vec<net::SocketAddr>,
     /// Address of the host list.
     pub host_list: net::SocketAddr,
-    /// How often the services are asked.
+    /// Polling intervals and timeouts of calls.
     pub polls: Polls,
 }
 
 /// Settings of one host.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Place of the host in the fleet.
+    /// Identity and location of the host.
     pub host: Host,
     /// Addresses that the host listens on.
     pub listen: Listen,
@@ -71,16 +71,16 @@
     pub platform: Platform,
     /// Credentials that the host accepts.
     pub credentials: Credentials,
-    /// Bounds on what callers send.
+    /// Limits on requests of callers.
     pub bounds: Bounds,
-    /// How endpoints are chosen.
+    /// Selection of endpoints.
     pub routing: Routing,
     /// Timeouts. Invariant: `connect` and `stall` are at most `request`, `ping` is at most
     /// `stall`, and `drain` is at least `request`.
     pub timeouts: Timeouts,
-    /// Bounds on sending a request again.
+    /// Limits on retries.
     pub retry: Retry,
-    /// Journal of the actions that may run at most once.
+    /// Journal of at-most-once actions.
     pub journal: Journal,
     /// Least severe level that is logged.
     pub log_level: slog::Level,
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every finding if there is at least one. A file that cannot be read is a finding.
+    /// Returns all findings if there are any. A file that cannot be read is a finding.
     pub fn load(file: &path::Path) -> Result<Self, Vec<Finding>> {
         match fs::read_to_string(file) {
             Ok(text) => Self::parse(&text),
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every finding if there is at least one.
+    /// Returns all findings if there are any.
     pub fn parse(text: &str) -> Result<Self, Vec<Finding>> {
         let document = document::parse(text).map_err(|e| vec![document_finding(&e)])?;
         let mut findings = Vec::new();
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Rows of the settings page for every field that has a default.
+    /// Rows of the settings documentation for every field that has a default.
     #[must_use]
     pub fn doc_rows() -> Vec<DocRow> {
         let mut rows = Polls::doc_rows();
@@ -127,7 +127,7 @@
     }
 }
 
-/// Finding about the document as a whole.
+/// Finding about the entire document.
 fn document_finding<E>(e: &E) -> Finding
 where
     E: fmt::Display,
@@ -167,7 +167,7 @@
     })
 }
 
-/// Reads a section of which every field has a default. The section itself may be missing.
+/// Reads an optional section in which every field has a default.
 fn read_scalars<T, F>(reader: &mut reader::Reader<'_>, section: &'static str, read: F) -> Option<T>
 where
     T: Default,
@@ -236,7 +236,7 @@
         let Some(addr): &Option<net::SocketAddr> = addr else {
             continue;
         };
-        // The system chooses the port where it is 0.
+        // The system assigns a free port for port 0, so these addresses do not collide.
         let same = |other: &&(_, _)| addr.port() != 0 && other.1 == Some(*addr);
         if let Some((other, _)) = given[..i].iter().find(same) {
             reader.report(name, format_args!("{addr} is the address of {other} too"));
--- a/crates/runtime/src/settings/reader.rs
+++ b/crates/runtime/src/settings/reader.rs
@@ -1,7 +1,7 @@
-//! Reads typed fields from a JSON object and collects what is wrong with them.
+//! Reads typed fields from a JSON object and collects findings about them.
 //!
-//! A reader never stops at the first fault: a field that cannot be read gives `None` and leaves a
-//! [`settings::Finding`], and the caller goes on with the next field.
+//! A reader does not stop at the first fault: reading a faulty field reports a
+//! [`settings::Finding`] and returns `None`, and the caller continues with the next field.
 
 use std::fmt;
 use std::ops::RangeInclusive;
@@ -16,13 +16,14 @@
     /// JSON path of the object.
     place: String,
     fields: &'a Map<String, Value>,
-    /// Names that were asked for. A field with another name is unknown.
+    /// Names of the fields that were read. All other fields are unknown.
     requested: Vec<&'static str>,
     findings: &'a mut Vec<settings::Finding>,
 }
 
 impl<'a> Reader<'a> {
-    /// Makes a reader of an object at `place`, or leaves a finding if `value` is no object.
+    /// Creates a reader of the object `value` at JSON path `place`. Reports a finding if `value` is
+    /// not an object.
     pub fn new(
         place: String,
         value: &'a Value,
@@ -41,13 +42,13 @@
         })
     }
 
-    /// Reader of a field that holds an object. A missing field is a finding.
+    /// Returns a reader of a field that holds an object. A missing field is a finding.
     pub fn section(&mut self, name: &'static str) -> Option<Reader<'_>> {
         let value = self.required(name)?;
         Reader::new(self.field_path(name), value, self.findings)
     }
 
-    /// Value of a field. A missing field is a finding.
+    /// Returns the value of a field. A missing field is a finding.
     pub fn required(&mut self, name: &'static str) -> Option<&'a Value> {
         let value = self.optional(name);
         if value.is_none() {
@@ -56,13 +57,13 @@
         value
     }
 
-    /// Value of a field that may be missing.
+    /// Returns the value of a field, if it is present.
     pub fn optional(&mut self, name: &'static str) -> Option<&'a Value> {
         self.requested.push(name);
         self.fields.get(name)
     }
 
-    /// Typed value of a field. A missing field is a finding.
+    /// Decodes the value of a field. A missing field is a finding.
     pub fn typed<T>(&mut self, name: &'static str) -> Option<T>
     where
         T: serde::de::DeserializeOwned,
@@ -72,8 +73,8 @@
         self.decode(place, value)
     }
 
-    /// Typed items of a field that holds an array, each with its own findings. A missing field
-    /// is a finding.
+    /// Decodes the items of a field that holds an array, each with its own findings. A missing
+    /// field is a finding.
     pub fn items<T>(&mut self, name: &'static str) -> Option<Vec<T>>
     where
         T: serde::de::DeserializeOwned,
@@ -81,7 +82,7 @@
         self.items_with(name, |place, item, findings| decode(place, item, findings))
     }
 
-    /// Items of a field that holds an array, each read by `read`. A missing field is a finding.
+    /// Reads the items of a field that holds an array with `read`. A missing field is a finding.
     pub fn items_with<T, F>(&mut self, name: &'static str, mut read: F) -> Option<Vec<T>>
     where
         F: FnMut(String, &Value, &mut Vec<settings::Finding>) -> Option<T>,
@@ -103,7 +104,8 @@
         read.into_iter().collect()
     }
 
-    /// Typed value of a field, or its default, that has to lie in a range.
+    /// Decodes the value of a field, or returns the default if the field is missing. A value out of
+    /// range is a finding.
     pub fn scalar<T>(
         &mut self,
         name: &'static str,
@@ -126,7 +128,7 @@
         None
     }
 
-    /// Leaves a finding at a field.
+    /// Reports a finding about a field.
     pub fn report<D>(&mut self, name: &str, fault: D)
     where
         D: fmt::Display,
@@ -136,7 +138,7 @@
         self.findings.push(settings::Finding { place, fault });
     }
 
-    /// Ends the reading of the object: leaves a finding for each field that is unknown.
+    /// Finishes reading the object, and reports a finding for each unknown field.
     pub fn close(mut self) {
         let unknown: Vec<_> = self
             .fields
--- a/crates/runtime/src/settings/scalar.rs
+++ b/crates/runtime/src/settings/scalar.rs
@@ -1,7 +1,8 @@
-//! Sections of the settings that hold only numbers and switches.
+//! Sections of the settings that contain only numbers and booleans.
 //!
-//! Each field is declared once, with its JSON name, type, default and range. The declaration
-//! gives the struct, its `Default`, its reader and the rows of the settings page.
+//! Each field is declared once, with its JSON name, type, default and range. The macro `section`
+//! generates the struct, its `Default`, its reader and its rows of the settings documentation, so
+//! the doc comments of the fields must match `docs/operators/settings.md` word for word.
 
 use std::convert::identity;
 use std::time::Duration;
@@ -10,7 +11,7 @@
 
 use crate::settings::reader;
 
-/// Row of the settings page.
+/// Row of the settings documentation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DocRow {
     /// JSON path without `$`, such as `bounds.body_bytes`.
@@ -19,7 +20,7 @@
     pub default: String,
     /// Smallest and largest value.
     pub range: (String, String),
-    /// What the value means, with its unit.
+    /// Meaning and unit of the value.
     pub meaning: String,
 }
 
@@ -41,7 +42,7 @@
             /// Name of the section in the settings.
             pub const SECTION: &'static str = $section;
 
-            /// Rows of the settings page for the section.
+            /// Rows of the settings documentation for the section.
             #[must_use]
             pub fn doc_rows() -> Vec<DocRow> {
                 vec![$(DocRow {
@@ -67,7 +68,7 @@
 }
 
 section! {
-    /// How often the platform is asked.
+    /// Polling intervals and timeouts of calls to the platform.
     Polls in "platform" {
         /// Time between two reads of the host list, in milliseconds.
         "host_list_poll_ms" host_list: Duration = Duration::from_millis, 500, 50..=10_000;
@@ -79,7 +80,7 @@
 }
 
 section! {
-    /// Bounds on what callers send.
+    /// Limits on requests of callers.
     Bounds in "bounds" {
         /// Largest header block, in bytes.
         "header_bytes" header: units::ByteSize = units::ByteSize, 16_384, 1_024..=1_048_576;
@@ -97,7 +98,7 @@
 }
 
 section! {
-    /// How endpoints are chosen.
+    /// Selection of endpoints.
     Routing in "routing" {
         /// Largest load of an endpoint as a multiple of the mean of its pool.
         "load_multiple" load_multiple: f64 = identity, 1.25, 1.0..=16.0;
@@ -127,7 +128,7 @@
 }
 
 section! {
-    /// Bounds on sending a request again.
+    /// Limits on retries.
     Retry in "retry" {
         /// Retries as a fraction of the requests of the host.
         "budget_ratio" budget_ratio: f64 = identity, 0.08, 0.0..=1.0;
@@ -139,7 +140,7 @@
 }
 
 section! {
-    /// Journal of the actions that may run at most once.
+    /// Journal of at-most-once actions.
     Journal in "journal" {
         /// Shards of the journal. All hosts of the fleet need the same number.
         "shards" shards: u16 = identity, 16, 1..=256;
--- a/crates/runtime/src/settings/secret.rs
+++ b/crates/runtime/src/settings/secret.rs
@@ -1,11 +1,11 @@
-//! Secrets that settings hold.
+//! Secrets in the settings.
 
 use std::fmt;
 
-/// Shortest secret, in bytes.
+/// Minimum length of a secret, in bytes.
 pub const MIN_SECRET_LEN: usize = 16;
 
-/// A shared secret. It has no `Display`, and its `Debug` leaves the secret out.
+/// A shared secret. It has no `Display`, and its `Debug` output omits the secret.
 #[derive(Clone)]
 pub struct Secret(
     /// Invariant: at least [`MIN_SECRET_LEN`] bytes.
@@ -13,7 +13,7 @@
 );
 
 impl Secret {
-    /// Makes a secret, or `None` if the text is shorter than [`MIN_SECRET_LEN`].
+    /// Creates a secret. Returns `None` if the text is shorter than [`MIN_SECRET_LEN`].
     #[must_use]
     pub fn new(text: &str) -> Option<Self> {
         (text.len() >= MIN_SECRET_LEN).then(|| Self(text.to_owned()))
