--- a/crates/runtime/tests/observability.rs
+++ b/crates/runtime/tests/observability.rs
@@ -1,4 +1,5 @@
-//! Metrics show every reason from the start, and logs are JSON lines that hold request ids.
+//! The counters of all reasons are exported from the start, and log lines are JSON with request
+//! ids.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -8,23 +9,26 @@
 use pistachiochute_runtime::{log, metrics, settings};
 
 #[test]
-fn every_reason_has_a_counter_from_the_start() {
+fn counters_of_all_reasons_start_at_zero() {
     let text = metrics::Metrics::new().unwrap().render().unwrap();
-    let shown = |metric: &str, reason: &str| {
+    let starts_at_zero = |metric: &str, reason: &str| {
         let label = format!("reason=\"{reason}\"");
         let mut lines = text.lines();
         lines.any(|line| line.starts_with(metric) && line.contains(&label) && line.ends_with(" 0"))
     };
     for reason in reason::Refusal::ALL {
-        assert!(shown("refusals_total", reason.as_str()), "{reason}");
+        assert!(
+            starts_at_zero("refusals_total", reason.as_str()),
+            "{reason}"
+        );
     }
     for reason in reason::Retry::ALL {
-        assert!(shown("retries_total", reason.as_str()), "{reason}");
+        assert!(starts_at_zero("retries_total", reason.as_str()), "{reason}");
     }
 }
 
 #[test]
-fn counts_of_all_threads_are_shown() {
+fn counts_of_all_threads_are_exported() {
     let metrics = metrics::Metrics::new().unwrap();
     let threads: Vec<_> = (0..4)
         .map(|_| {
@@ -61,9 +65,9 @@
 }
 
 #[derive(Clone, Default)]
-struct Shared(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl io::Write for Shared {
+impl io::Write for SharedBuffer {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().write(buf)
     }
@@ -81,7 +85,7 @@
         region: "reg0".parse().unwrap(),
         name: Some("counter".to_owned()),
     };
-    let written = Shared::default();
+    let written = SharedBuffer::default();
     let log = log::Log::to_writer(written.clone(), &host, slog::Level::Info);
     let id: request::RequestId = "req-018f3c5e7b3a7000800000000000002a".parse().unwrap();
     slog::info!(log::for_request(log.logger(), id), "refused"; "reason" => "at_bound");
--- a/crates/runtime/tests/platform_answers.rs
+++ b/crates/runtime/tests/platform_answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the platform that are cut, endless, oversized or silent are never taken as whole.
+//! Answers of the platform that are truncated, oversized or stalled are never taken as complete.
 
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -19,14 +19,14 @@
     }
 }
 
-/// Serves one connection with `raw` and closes it.
+/// Starts a server that answers one connection with `raw` and closes it.
 fn serve(raw: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     thread::spawn(move || {
         let (mut socket, _) = listener.accept().unwrap();
         read_head(&mut socket);
-        // The client may give up before the whole answer is written.
+        // The client may close the connection before the answer is written.
         let written = socket.write_all(&raw);
         drop(written);
     });
@@ -60,18 +60,18 @@
 }
 
 #[test]
-fn whole_answers_are_read() {
+fn complete_answers_are_read() {
     let body = body();
     assert_eq!(read(with_length(body.len(), &body)).unwrap().version, 7);
     assert_eq!(read(chunked(&body, b"\r\n0\r\n\r\n")).unwrap().version, 7);
 }
 
-/// The body itself is valid JSON, so that only the declared length or the missing last chunk shows
-/// that the answer was cut.
+/// The body itself is valid JSON, so only the declared length or the missing last chunk reveals
+/// that the answer was truncated.
 #[test]
-fn cut_answers_are_refused() {
+fn truncated_answers_are_refused() {
     let body = body();
-    let cut = [
+    let truncated = [
         with_length(body.len() + 1, &body),
         with_length(body.len(), &body[..body.len() / 2]),
         chunked(&body, b""),
@@ -80,8 +80,8 @@
         b"HTTP/1.1 200 OK\r\ncontent-le".to_vec(),
         Vec::new(),
     ];
-    for (i, raw) in cut.into_iter().enumerate() {
-        let err = read(raw).expect_err(&format!("answer {i} was cut"));
+    for (i, raw) in truncated.into_iter().enumerate() {
+        let err = read(raw).expect_err(&format!("answer {i} is truncated"));
         assert!(
             matches!(err, host_list::Error::Unreachable { .. }),
             "answer {i}: {err}"
@@ -89,13 +89,13 @@
     }
 }
 
-/// A body without a length that ends with its connection is cut at every place.
+/// Truncates a body without a declared length, which ends with its connection, at every position.
 #[test]
-fn cut_answers_without_a_length_do_not_parse() {
+fn truncated_answers_without_a_length_do_not_parse() {
     let body = body();
     let raw = |len: usize| [b"HTTP/1.1 200 OK\r\n\r\n".as_slice(), &body[..len]].concat();
     for len in 0..body.len() {
-        let err = read(raw(len)).expect_err(&format!("cut after {len} bytes"));
+        let err = read(raw(len)).expect_err(&format!("truncated after {len} bytes"));
         assert!(
             matches!(err, host_list::Error::Malformed { .. }),
             "{len}: {err}"
@@ -119,17 +119,18 @@
     assert_eq!(read(redirect.to_vec()), Err(host_list::Error::Status(302)));
 }
 
-/// What the HTTP client does by itself with a body that is cut before its declared length. If this
-/// test fails, the client checks the length and the check in the runtime can go.
+/// Records that the HTTP client `attohttpc` accepts a body that is shorter than its declared
+/// length. If this test fails, that client checks the length itself, and a check around it can be
+/// removed.
 #[test]
-fn http_client_takes_a_short_body_as_whole() {
+fn attohttpc_accepts_a_truncated_body() {
     let body = body();
     let addr = serve(with_length(body.len() + 1, &body));
-    let taken = attohttpc::get(format!("http://{addr}/"))
+    let accepted = attohttpc::get(format!("http://{addr}/"))
         .send()
         .unwrap()
         .bytes();
-    assert_eq!(taken.unwrap(), body);
+    assert_eq!(accepted.unwrap(), body);
     let addr = serve(chunked(&body, b"\r\n"));
     assert!(
         attohttpc::get(format!("http://{addr}/"))
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn faults_of_the_host_list() {
+fn outages_of_the_host_list_are_errors() {
     let list = topology::HostList {
         version: 3,
         ..Default::default()
--- a/crates/runtime/tests/platform_key_value.rs
+++ b/crates/runtime/tests/platform_key_value.rs
@@ -1,4 +1,4 @@
-//! The client of the key-value service against the stand-in, through each of its faults.
+//! The client of the key-value service against the stand-in, under each of its injected faults.
 
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
@@ -47,7 +47,7 @@
     })
 }
 
-/// Writes if the key was last written at `at`; otherwise reads it.
+/// Writes key `k` if it was last written at revision `at`; otherwise reads it.
 fn swap(client: &etcd::Etcd, at: u64, value: &'static str) -> Result<TxnResult, Error> {
     client.txn(&Txn {
         compares: vec![Compare::Modified(key("k"), Revision(at))],
@@ -68,10 +68,10 @@
     let (service, client) = start();
     let first = swap(&client, 0, "1").unwrap();
     assert!(first.succeeded);
-    let lost = swap(&client, 0, "2").unwrap();
-    assert!(!lost.succeeded);
-    assert_eq!(lost.ranges[0].entries[0].value, key("1"));
-    assert_eq!(lost.ranges[0].entries[0].modified, first.revision);
+    let failed = swap(&client, 0, "2").unwrap();
+    assert!(!failed.succeeded);
+    assert_eq!(failed.ranges[0].entries[0].value, key("1"));
+    assert_eq!(failed.ranges[0].entries[0].modified, first.revision);
     assert!(swap(&client, first.revision.0, "3").unwrap().succeeded);
     let created = Txn {
         compares: vec![Compare::Created(key("k"), first.revision)],
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn prefixes_end_where_they_should() {
+fn prefix_ranges_have_the_right_end() {
     let (service, client) = start();
     for text in ["a", "p/1", "p/2", "q"] {
         write(&client, text, "x").unwrap();
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn large_values_pass_and_larger_ones_are_refused() {
+fn values_above_the_maximum_size_are_refused() {
     let (service, client) = start();
     let put = |len: usize| {
         let value = Bytes::from(vec![7; len]);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn lost_answer_is_unknown_and_resolved_by_reading() {
+fn lost_answer_is_unknown_and_a_read_resolves_it() {
     let (service, client) = start();
     service.set_faults(keyvalue::Faults {
         lost_answers: 1,
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn late_write_loses_its_compare_against_a_newer_one() {
+fn delayed_write_fails_its_compare_after_a_newer_write() {
     let (service, client) = start();
     let late = keyvalue::Faults {
         late_writes: 1,
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn next_address_is_taken_when_a_connection_is_refused() {
+fn next_address_is_used_when_a_connection_is_refused() {
     let (service, _) = start();
     let closed = TcpListener::bind("127.0.0.1:0")
         .unwrap()
@@ -234,7 +234,7 @@
         .expect("the watch delivers")
 }
 
-/// The next event that is neither progress nor a lost connection.
+/// Returns the next event other than progress and lost connections.
 fn next_content(watch: &Watch) -> WatchEvent {
     loop {
         match next(watch) {
@@ -244,7 +244,7 @@
     }
 }
 
-/// Values and revisions of the next changes, until `count` have come.
+/// Returns the values and revisions of at least the next `count` changes.
 fn changes(watch: &Watch, count: usize) -> Vec<(Option<Bytes>, u64)> {
     let mut seen = Vec::new();
     while seen.len() < count {
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn silent_watch_connects_again() {
+fn stalled_watch_reconnects() {
     let (service, client) = start();
     let watch = client.watch(Keys::Prefix(key("p/")), Revision(1)).unwrap();
     while !matches!(next(&watch), WatchEvent::Progress(_)) {}
--- a/crates/runtime/tests/settings.rs
+++ b/crates/runtime/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked whole, and the settings page states the defaults that the code has.
+//! Settings are fully validated, and the settings documentation states the defaults of the code.
 
 use pistachiochute_core::{journal, name, retry};
 use pistachiochute_runtime::settings;
@@ -7,7 +7,7 @@
 const SETTINGS_PAGE: &str = include_str!("../../../docs/operators/settings.md");
 const LINK_SECRET: &str = "a-secret-of-the-links";
 
-fn sound() -> Value {
+fn valid_settings() -> Value {
     json!({
         "host": { "id": "host3", "domain": "dom1", "region": "reg0" },
         "listen": {
@@ -26,9 +26,9 @@
     })
 }
 
-/// The sound settings with the value at a JSON pointer replaced or added.
-fn with(changes: &[(&str, Value)]) -> String {
-    let mut settings = sound();
+/// Returns valid settings in which the values at some JSON pointers are replaced or added.
+fn settings_with(changes: &[(&str, Value)]) -> String {
+    let mut settings = valid_settings();
     for (pointer, value) in changes {
         let (parent, field) = pointer.rsplit_once('/').unwrap();
         settings.pointer_mut(parent).unwrap()[field] = value.clone();
@@ -36,14 +36,14 @@
     settings.to_string()
 }
 
-fn places(text: &str) -> Vec<String> {
+fn finding_places(text: &str) -> Vec<String> {
     let findings = settings::Settings::parse(text).unwrap_err();
     findings.into_iter().map(|finding| finding.place).collect()
 }
 
 #[test]
-fn sound_settings_take_the_defaults() {
-    let settings = settings::Settings::parse(&sound().to_string()).unwrap();
+fn valid_settings_use_the_defaults() {
+    let settings = settings::Settings::parse(&valid_settings().to_string()).unwrap();
     assert_eq!(settings.host.id.to_string(), "host3");
     assert_eq!(settings.bounds, settings::Bounds::default());
     assert_eq!(settings.routing.load_multiple, 1.25);
@@ -75,8 +75,8 @@
 }
 
 #[test]
-fn five_faults_give_five_findings() {
-    let text = with(&[
+fn every_fault_is_a_finding() {
+    let text = settings_with(&[
         ("/host/id", json!("three")),
         ("/listen/admin", json!(8081)),
         ("/credentials/link", json!("short")),
@@ -84,7 +84,7 @@
         ("/rooting", json!({})),
     ]);
     assert_eq!(
-        places(&text),
+        finding_places(&text),
         [
             "$.host.id",
             "$.listen.admin",
@@ -99,14 +99,14 @@
 fn contradictory_timeouts_are_findings() {
     let timeouts = json!({ "stall_ms": 5_000, "request_ms": 4_000, "drain_ms": 3_000 });
     assert_eq!(
-        places(&with(&[("/timeouts", timeouts)])),
+        finding_places(&settings_with(&[("/timeouts", timeouts)])),
         ["$.timeouts.stall_ms", "$.timeouts.drain_ms"]
     );
 }
 
 #[test]
 fn values_out_of_range_are_findings() {
-    let text = with(&[
+    let text = settings_with(&[
         (
             "/routing",
             json!({ "load_multiple": 0.5, "reuse_weight": 2 }),
@@ -116,7 +116,7 @@
         ("/log_level", json!("loud")),
     ]);
     assert_eq!(
-        places(&text),
+        finding_places(&text),
         [
             "$.routing.load_multiple",
             "$.routing.reuse_weight",
@@ -128,15 +128,15 @@
 }
 
 #[test]
-fn repeats_are_findings() {
-    let operator = sound()["credentials"]["operators"][0].clone();
-    let text = with(&[
+fn duplicates_are_findings() {
+    let operator = valid_settings()["credentials"]["operators"][0].clone();
+    let text = settings_with(&[
         ("/listen/links", json!("127.0.0.1:8080")),
         ("/platform/key_value", json!(["127.0.0.1:1", "127.0.0.1:1"])),
         ("/credentials/operators", json!([operator, operator])),
     ]);
     assert_eq!(
-        places(&text),
+        finding_places(&text),
         [
             "$.listen.links",
             "$.platform.key_value[1]",
@@ -147,8 +147,8 @@
 }
 
 #[test]
-fn a_field_given_twice_is_a_finding() {
-    let text = sound()
+fn a_duplicate_field_is_a_finding() {
+    let text = valid_settings()
         .to_string()
         .replacen('{', r#"{"retry":{},"retry":{},"#, 1);
     let findings = settings::Settings::parse(&text).unwrap_err();
@@ -159,21 +159,21 @@
 #[test]
 fn missing_sections_are_findings() {
     assert_eq!(
-        places("{}"),
+        finding_places("{}"),
         ["$.host", "$.listen", "$.platform", "$.credentials"]
     );
-    assert_eq!(places("[]"), ["$"]);
-    assert_eq!(places("{"), ["$"]);
+    assert_eq!(finding_places("[]"), ["$"]);
+    assert_eq!(finding_places("{"), ["$"]);
 }
 
 #[test]
 fn secrets_are_not_printed() {
-    let settings = settings::Settings::parse(&sound().to_string()).unwrap();
+    let settings = settings::Settings::parse(&valid_settings().to_string()).unwrap();
     let printed = format!("{settings:?}");
     assert!(!printed.contains(LINK_SECRET));
     assert!(!printed.contains("1111"));
 
-    let text = with(&[
+    let text = settings_with(&[
         ("/credentials/link", json!(["hidden-value-in-an-array"])),
         ("/credentials/operators/0/digest", json!("hidden-digest")),
     ]);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn the_settings_page_states_every_default() {
+fn the_settings_documentation_states_every_default() {
     for row in settings::Settings::doc_rows() {
         let (low, high) = &row.range;
         let line = format!(
