--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -118,7 +118,7 @@
     let mut figures = Vec::new();
     for group in Group::ALL.iter().filter(chosen) {
         let readings = group.run()?;
-        figures.extend(readings.iter().map(|reading| bounds.judge(reading)));
+        figures.extend(readings.iter().map(|reading| bounds.evaluate(reading)));
     }
     if group.is_none() {
         let missing = bounds.unmeasured(&figures);
--- a/crates/measure/src/bounds.rs
+++ b/crates/measure/src/bounds.rs
@@ -23,7 +23,7 @@
 impl Limit {
     /// Whether the value keeps the limit. A value that is not a number keeps none.
     #[must_use]
-    pub fn admits(self, value: f64) -> bool {
+    pub fn is_met_by(self, value: f64) -> bool {
         match self {
             Self::AtMost(limit) => value <= limit,
             Self::AtLeast(limit) => value >= limit,
@@ -72,7 +72,7 @@
 
     /// Compares a reading with its bound.
     #[must_use]
-    pub fn judge(&self, reading: &figure::Reading) -> figure::Figure {
+    pub fn evaluate(&self, reading: &figure::Reading) -> figure::Figure {
         let bound = self.0.get(reading.name);
         figure::Figure {
             name: reading.name.to_owned(),
@@ -80,7 +80,7 @@
             unit: reading.unit.to_owned(),
             baseline: reading.baseline,
             bound: bound.map(|bound| bound.limit.to_string()),
-            ok: bound.is_none_or(|bound| bound.limit.admits(reading.value)),
+            ok: bound.is_none_or(|bound| bound.limit.is_met_by(reading.value)),
         }
     }
 
