--- a/crates/measure/src/actions/answers.rs
+++ b/crates/measure/src/actions/answers.rs
@@ -5,29 +5,29 @@
 use rand::{Rng as _, SeedableRng as _};
 
 /// Events of one answer.
-const EVENTS: u32 = 8;
+const EVENTS_PER_ANSWER: u32 = 8;
 
 /// Most attempts of a request.
 const MAX_ATTEMPTS: u8 = 6;
 
 /// Of how many frames one meets each kind of fault.
-const FAULT_ONE_IN: u32 = 12;
+const FRAMES_PER_FAULT: u32 = 12;
 
 /// What became of the answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Answers that their callers took for whole.
-    pub whole: u64,
+    pub complete: u64,
     /// Answers that ended as an explicit error.
     pub failed: u64,
     /// Whole answers of which an attempt was resumed.
     pub resumed: u64,
     /// Answers that were cut short but taken for whole, joined from two runs, or another's.
-    pub wrong: u64,
+    pub invalid: u64,
 }
 
 /// Text of an event, different for each request, run and event.
-fn text(request: u64, run: u8, event: u32) -> Bytes {
+fn event_text(request: u64, run: u8, event: u32) -> Bytes {
     Bytes::from(format!("[{request}.{run}.{event}]"))
 }
 
@@ -38,8 +38,8 @@
     };
     let mut parts = vec![answer::Part::Dispatched, answer::Part::Head(head)];
     let mut bytes = 0;
-    for (seq, event) in (after + 1..=EVENTS).enumerate() {
-        let data = text(request, run, event);
+    for (seq, event) in (after + 1..=EVENTS_PER_ANSWER).enumerate() {
+        let data = event_text(request, run, event);
         bytes += data.len() as u64;
         parts.push(answer::Part::Chunk {
             seq: seq as u32,
@@ -48,7 +48,7 @@
         });
     }
     parts.push(answer::Part::End {
-        chunks: EVENTS - after,
+        chunks: EVENTS_PER_ANSWER - after,
         bytes,
         used: None,
     });
@@ -94,7 +94,7 @@
             resumed: false,
         };
         trial.attempts();
-        trial.count(&mut tally);
+        trial.add_to(&mut tally);
     }
     tally
 }
@@ -127,29 +127,29 @@
     fn attempt(&mut self, frames: &[answer::Frame]) -> Option<retry::Failure> {
         self.assembler.mark_sent();
         for frame in frames {
-            if self.fault() {
+            if self.draw_fault() {
                 return Some(self.assembler.fail_attempt(reason::Refusal::ConnectionLost));
             }
             let stray = self.rng.random_range(0..self.stray.len());
-            let stray = self.fault().then(|| self.stray[stray].clone());
-            let lost = self.fault() && self.fault();
+            let stray = self.draw_fault().then(|| self.stray[stray].clone());
+            let lost = self.draw_fault() && self.draw_fault();
             let sent = (!lost).then(|| frame.clone());
-            let again = self.fault().then(|| frame.clone());
-            for frame in stray.into_iter().chain(sent).chain(again) {
-                if let Some(failure) = self.give(frame) {
+            let duplicate = self.draw_fault().then(|| frame.clone());
+            for frame in stray.into_iter().chain(sent).chain(duplicate) {
+                if let Some(failure) = self.deliver_frame(frame) {
                     return Some(failure);
                 }
             }
         }
-        let whole = self.assembler.is_complete();
-        (!whole).then(|| self.assembler.fail_attempt(reason::Refusal::ConnectionLost))
+        let complete = self.assembler.is_complete();
+        (!complete).then(|| self.assembler.fail_attempt(reason::Refusal::ConnectionLost))
     }
 
-    fn fault(&mut self) -> bool {
-        self.rng.random_ratio(1, FAULT_ONE_IN)
+    fn draw_fault(&mut self) -> bool {
+        self.rng.random_ratio(1, FRAMES_PER_FAULT)
     }
 
-    fn give(&mut self, frame: answer::Frame) -> Option<retry::Failure> {
+    fn deliver_frame(&mut self, frame: answer::Frame) -> Option<retry::Failure> {
         match self.assembler.handle_frame(frame) {
             answer::Step::Deliver(delivery) => {
                 self.body.extend(delivery.data.concat());
@@ -160,17 +160,18 @@
         }
     }
 
-    fn count(&self, tally: &mut Tally) {
-        let events = (1..=EVENTS).flat_map(|event| text(self.request, self.run, event));
+    fn add_to(&self, tally: &mut Tally) {
+        let events =
+            (1..=EVENTS_PER_ANSWER).flat_map(|event| event_text(self.request, self.run, event));
         let answer: Vec<u8> = events.collect();
-        let whole = self.assembler.is_complete();
-        let right = match whole {
+        let complete = self.assembler.is_complete();
+        let valid = match complete {
             true => self.body == answer,
             false => answer.starts_with(&self.body),
         };
-        tally.wrong += u64::from(!right);
-        tally.whole += u64::from(whole);
-        tally.failed += u64::from(!whole);
-        tally.resumed += u64::from(whole && self.resumed);
+        tally.invalid += u64::from(!valid);
+        tally.complete += u64::from(complete);
+        tally.failed += u64::from(!complete);
+        tally.resumed += u64::from(complete && self.resumed);
     }
 }
--- a/crates/measure/src/actions/apply.rs
+++ b/crates/measure/src/actions/apply.rs
@@ -3,96 +3,96 @@
 use bytes::Bytes;
 use pistachiochute_core::{journal, outcome, reason};
 
-use crate::actions::action::Action;
-use crate::actions::world::{
-    Answered, Call, Request, Stage, Variant, Violation, World, attempt_id, attempt_number,
+use crate::actions::model::{
+    Call, CallResult, Model, Request, Stage, Variant, Violation, attempt_id, attempt_number,
     fingerprint, journal_config,
 };
+use crate::actions::step::Step;
 
 /// Base of the status that the endpoint answers; the attempt's number is added, so that every
 /// answer tells whose it is.
-const STATUS_BASE: u16 = 200;
+const BASE_STATUS: u16 = 200;
 
-impl World {
+impl Model {
     /// Takes a step.
     ///
     /// # Errors
     ///
     /// Returns the promise that the step breaks.
-    pub fn apply(&mut self, action: Action) -> Result<(), Violation> {
-        match action {
-            Action::Begin {
+    pub fn apply(&mut self, step: Step) -> Result<(), Violation> {
+        match step {
+            Step::SendRequest {
                 host,
                 key,
                 other_body,
-            } => self.begin(host, key, other_body)?,
-            Action::Serve(i) => self.serve(i),
-            Action::ServeSilently(i) => self.serve_silently(i),
-            Action::Delay(i) => self.delay(i),
-            Action::Refuse(i) => self.refuse(i),
-            Action::Late(i) => {
-                let call = self.late.remove(i);
-                self.carry_out(&call);
+            } => self.send_request(host, key, other_body)?,
+            Step::ServeCall(i) => self.serve_call(i),
+            Step::LoseCallAnswer(i) => self.lose_call_answer(i),
+            Step::DelayCall(i) => self.delay_call(i),
+            Step::FailCall(i) => self.fail_call(i),
+            Step::ApplyDelayedCall(i) => {
+                let call = self.delayed.remove(i);
+                self.execute_call(&call);
             }
-            Action::Deliver(host) => self.deliver(host)?,
-            Action::Dispatch(i) => self.dispatch(i)?,
-            Action::ConnectFails(i) => {
-                self.left.endpoint_faults -= 1;
+            Step::DeliverCallAnswer(host) => self.deliver_call_answer(host)?,
+            Step::Dispatch(i) => self.dispatch(i)?,
+            Step::FailConnect(i) => {
+                self.remaining.endpoint_faults -= 1;
                 self.finish(i, journal::AttemptResult::NotRun)?;
             }
-            Action::ConnectionLost(i) => self.connection_lost(i)?,
-            Action::Answer(i) => self.answer(i)?,
-            Action::Cancel(i) => self.cancel(i)?,
-            Action::Kill(host) => self.kill(host),
-            Action::Prune(host) => self.prune(host),
-            Action::Tick(host) => self.event(host, journal::Event::Tick)?,
-            Action::Advance => self.phase += 1,
+            Step::LoseConnection(i) => self.lose_connection(i)?,
+            Step::DeliverEndpointAnswer(i) => self.deliver_endpoint_answer(i)?,
+            Step::Cancel(i) => self.cancel(i)?,
+            Step::Kill(host) => self.kill(host),
+            Step::Prune(host) => self.prune(host),
+            Step::Tick(host) => self.handle_event(host, journal::Event::Tick)?,
+            Step::AdvancePhase => self.phase += 1,
         }
         self.violation().map_or(Ok(()), Err)
     }
 
-    fn begin(&mut self, host: usize, key: u8, other_body: bool) -> Result<(), Violation> {
-        self.left.begins -= 1;
-        self.left.reuses -= u8::from(other_body);
+    fn send_request(&mut self, host: usize, key: u8, other_body: bool) -> Result<(), Violation> {
+        self.remaining.requests -= 1;
+        self.remaining.key_reuses -= u8::from(other_body);
         let attempt = self.requests.len();
         self.requests.push(Request {
             key,
             fingerprint: fingerprint(other_body),
             host,
-            stage: Stage::Journal,
+            stage: Stage::InJournal,
             ran: false,
-            told: None,
-            came: self.clock(host),
+            reported_outcome: None,
+            arrived_at: self.clock(host),
         });
-        let begin = self.begin_event(attempt);
-        self.event(host, journal::Event::Begin(begin))
+        let begin = self.new_attempt(attempt);
+        self.handle_event(host, journal::Event::Begin(begin))
     }
 
     /// Gives an event to the journal of a host and takes up its effects.
-    fn event(&mut self, host: usize, event: journal::Event) -> Result<(), Violation> {
-        let clock = self.clock_seen(host);
+    fn handle_event(&mut self, host: usize, event: journal::Event) -> Result<(), Violation> {
+        let clock = self.journal_clock(host);
         let now = self.now();
         self.hosts[host].phase = self.phase;
         let effects = self.hosts[host].journal.handle(event, now, clock);
         for effect in effects {
-            self.effect(host, effect)?;
+            self.apply_effect(host, effect)?;
         }
         Ok(())
     }
 
     /// Clock that the journal is given.
-    fn clock_seen(&self, host: usize) -> journal::UnixMillis {
+    fn journal_clock(&self, host: usize) -> journal::UnixMillis {
         let arrivals = self.requests.iter().filter(|req| req.host == host);
         match self.variant {
-            Variant::ClockOfArrival => arrivals
-                .map(|req| req.came)
+            Variant::ClockAtArrival => arrivals
+                .map(|req| req.arrived_at)
                 .max()
                 .unwrap_or_else(|| self.clock(host)),
             _ => self.clock(host),
         }
     }
 
-    fn effect(&mut self, host: usize, effect: journal::Effect) -> Result<(), Violation> {
+    fn apply_effect(&mut self, host: usize, effect: journal::Effect) -> Result<(), Violation> {
         match effect {
             journal::Effect::Read { call, shard } => self.calls.push(Call {
                 host,
@@ -106,7 +106,7 @@
                 expected,
                 content,
             } => {
-                self.shortcut(&content);
+                self.dispatch_unconfirmed(&content);
                 self.calls.push(Call {
                     host,
                     id: call,
@@ -118,28 +118,28 @@
                 attempt, not_after, ..
             } => {
                 let req = &mut self.requests[attempt_number(attempt)];
-                if req.stage == Stage::Journal {
+                if req.stage == Stage::InJournal {
                     req.stage = Stage::Permitted { not_after };
                 }
             }
             journal::Effect::Answer { attempt, answer } => {
-                self.told(attempt_number(attempt), &answer)?;
+                self.check_answer(attempt_number(attempt), &answer)?;
             }
         }
         Ok(())
     }
 
     /// Dispatches the attempts of a swap that was only just sent, in the variant that does so.
-    fn shortcut(&mut self, content: &journal::Shard) {
+    fn dispatch_unconfirmed(&mut self, content: &journal::Shard) {
         if self.variant != Variant::DispatchBeforeConfirmation {
             return;
         }
         for i in 0..self.requests.len() {
-            let key = self.begin_event(i).key.hash;
+            let key = self.new_attempt(i).key.hash;
             let mine = content
                 .get(&key)
                 .is_some_and(|r| r.attempt == attempt_id(i));
-            if mine && self.requests[i].stage == Stage::Journal {
+            if mine && self.requests[i].stage == Stage::InJournal {
                 let not_after = journal::UnixMillis(u64::MAX);
                 self.requests[i].stage = Stage::Permitted { not_after };
             }
@@ -147,10 +147,10 @@
     }
 
     /// Checks what a caller is told without an answer of the endpoint to its own request.
-    fn told(&mut self, i: usize, answer: &journal::Answer) -> Result<(), Violation> {
+    fn check_answer(&mut self, i: usize, answer: &journal::Answer) -> Result<(), Violation> {
         let outcome = match answer {
             journal::Answer::Recorded(recorded) => {
-                let writer = usize::from(recorded.status - STATUS_BASE);
+                let writer = usize::from(recorded.status - BASE_STATUS);
                 let source = self.requests.get(writer).ok_or(Violation::WrongAnswer)?;
                 let same = source.ran
                     && source.key == self.requests[i].key
@@ -174,78 +174,78 @@
             }
         };
         let req = &mut self.requests[i];
-        req.told = Some(outcome);
-        if req.stage == Stage::Journal {
-            req.stage = Stage::Over;
+        req.reported_outcome = Some(outcome);
+        if req.stage == Stage::InJournal {
+            req.stage = Stage::Ended;
         }
         Ok(())
     }
 
     /// Carries out a call at the service and returns its answer.
-    fn carry_out(&mut self, call: &Call) -> Answered {
+    fn execute_call(&mut self, call: &Call) -> CallResult {
         let stored = self.store.get(&call.shard).cloned().unwrap_or_default();
         let Some((expected, content)) = &call.swap else {
-            return Answered::Loaded(call.id, stored);
+            return CallResult::Loaded(call.id, stored);
         };
         if stored.revision != *expected {
-            return Answered::Conflict(call.id, stored);
+            return CallResult::Conflict(call.id, stored);
         }
         self.revision += 1;
         let revision = journal::ModRevision(self.revision);
         let shard = content.clone();
         self.store
             .insert(call.shard, journal::StoredShard { revision, shard });
-        Answered::Swapped(call.id, revision)
+        CallResult::Swapped(call.id, revision)
     }
 
-    fn serve(&mut self, i: usize) {
+    fn serve_call(&mut self, i: usize) {
         let call = self.calls.remove(i);
-        let answered = self.carry_out(&call);
-        self.hosts[call.host].inbox.push(answered);
+        let result = self.execute_call(&call);
+        self.hosts[call.host].inbox.push(result);
     }
 
-    fn serve_silently(&mut self, i: usize) {
-        self.left.store_faults -= 1;
+    fn lose_call_answer(&mut self, i: usize) {
+        self.remaining.store_faults -= 1;
         let call = self.calls.remove(i);
-        self.carry_out(&call);
+        self.execute_call(&call);
         self.hosts[call.host]
             .inbox
-            .push(Answered::SwapUnknown(call.id));
+            .push(CallResult::SwapUnknown(call.id));
     }
 
-    fn delay(&mut self, i: usize) {
-        self.left.store_faults -= 1;
+    fn delay_call(&mut self, i: usize) {
+        self.remaining.store_faults -= 1;
         let call = self.calls.remove(i);
         self.hosts[call.host]
             .inbox
-            .push(Answered::SwapUnknown(call.id));
-        self.late.push(call);
+            .push(CallResult::SwapUnknown(call.id));
+        self.delayed.push(call);
     }
 
-    fn refuse(&mut self, i: usize) {
-        self.left.store_faults -= 1;
+    fn fail_call(&mut self, i: usize) {
+        self.remaining.store_faults -= 1;
         let call = self.calls.remove(i);
-        let answered = match call.swap {
-            Some(_) => Answered::SwapFailed(call.id),
-            None => Answered::ReadFailed(call.id),
+        let result = match call.swap {
+            Some(_) => CallResult::SwapFailed(call.id),
+            None => CallResult::ReadFailed(call.id),
         };
-        self.hosts[call.host].inbox.push(answered);
+        self.hosts[call.host].inbox.push(result);
     }
 
-    fn deliver(&mut self, host: usize) -> Result<(), Violation> {
+    fn deliver_call_answer(&mut self, host: usize) -> Result<(), Violation> {
         let event = match self.hosts[host].inbox.remove(0) {
-            Answered::Loaded(call, stored) => journal::Event::Loaded { call, stored },
-            Answered::ReadFailed(call) => journal::Event::ReadFailed(call),
-            Answered::Swapped(call, revision) => journal::Event::Swapped { call, revision },
-            Answered::Conflict(call, stored) => journal::Event::Conflict { call, stored },
-            Answered::SwapFailed(call) => journal::Event::SwapFailed(call),
-            Answered::SwapUnknown(call) if self.variant == Variant::LostAnswerIsSuccess => {
+            CallResult::Loaded(call, stored) => journal::Event::Loaded { call, stored },
+            CallResult::ReadFailed(call) => journal::Event::ReadFailed(call),
+            CallResult::Swapped(call, revision) => journal::Event::Swapped { call, revision },
+            CallResult::Conflict(call, stored) => journal::Event::Conflict { call, stored },
+            CallResult::SwapFailed(call) => journal::Event::SwapFailed(call),
+            CallResult::SwapUnknown(call) if self.variant == Variant::LostAnswerIsSuccess => {
                 let revision = journal::ModRevision(self.revision);
                 journal::Event::Swapped { call, revision }
             }
-            Answered::SwapUnknown(call) => journal::Event::SwapUnknown(call),
+            CallResult::SwapUnknown(call) => journal::Event::SwapUnknown(call),
         };
-        self.event(host, event)
+        self.handle_event(host, event)
     }
 
     /// Runs a request at the endpoint, if its time has not passed.
@@ -253,7 +253,7 @@
         let Stage::Permitted { not_after } = self.requests[i].stage else {
             return Ok(());
         };
-        if self.clock_seen(self.requests[i].host) > not_after {
+        if self.journal_clock(self.requests[i].host) > not_after {
             return self.finish(i, journal::AttemptResult::NotRun);
         }
         let req = &mut self.requests[i];
@@ -262,17 +262,17 @@
         Ok(())
     }
 
-    fn connection_lost(&mut self, i: usize) -> Result<(), Violation> {
-        self.left.endpoint_faults -= 1;
+    fn lose_connection(&mut self, i: usize) -> Result<(), Violation> {
+        self.remaining.endpoint_faults -= 1;
         let result = match self.variant {
-            Variant::LostDispatchIsNotRun => journal::AttemptResult::NotRun,
+            Variant::LostConnectionIsNotRun => journal::AttemptResult::NotRun,
             _ => journal::AttemptResult::Unknown,
         };
         self.finish(i, result)
     }
 
-    fn answer(&mut self, i: usize) -> Result<(), Violation> {
-        let status = STATUS_BASE + i as u16;
+    fn deliver_endpoint_answer(&mut self, i: usize) -> Result<(), Violation> {
+        let status = BASE_STATUS + i as u16;
         let body = Bytes::from_static(b"done");
         let recorded = journal::RecordedAnswer::new(status, &Bytes::new(), &body);
         self.finish(i, journal::AttemptResult::Run(recorded))
@@ -281,51 +281,53 @@
     /// Ends a request that was permitted, at its caller and in the journal.
     fn finish(&mut self, i: usize, result: journal::AttemptResult) -> Result<(), Violation> {
         let req = &mut self.requests[i];
-        req.stage = Stage::Over;
-        req.told = Some(match &result {
+        req.stage = Stage::Ended;
+        req.reported_outcome = Some(match &result {
             journal::AttemptResult::NotRun => outcome::Outcome::NotRun,
             journal::AttemptResult::Unknown => outcome::Outcome::Unknown,
             journal::AttemptResult::Run(_) => outcome::Outcome::Run,
         });
         let host = req.host;
         let attempt = attempt_id(i);
-        self.event(host, journal::Event::Finished { attempt, result })
+        self.handle_event(host, journal::Event::Finished { attempt, result })
     }
 
     fn cancel(&mut self, i: usize) -> Result<(), Violation> {
-        self.left.cancels -= 1;
+        self.remaining.cancels -= 1;
         let req = &mut self.requests[i];
-        req.stage = Stage::Over;
+        req.stage = Stage::Ended;
         let host = req.host;
-        self.event(host, journal::Event::Cancel(attempt_id(i)))
+        self.handle_event(host, journal::Event::Cancel(attempt_id(i)))
     }
 
     /// Replaces a host by one that knows nothing. What it sent may still take effect.
     fn kill(&mut self, host: usize) {
-        self.left.kills -= 1;
+        self.remaining.kills -= 1;
         self.hosts[host].journal = journal::Journal::new(journal_config());
         self.hosts[host].inbox.clear();
         let (dead, alive) = std::mem::take(&mut self.calls)
             .into_iter()
             .partition(|call| call.host == host);
         self.calls = alive;
-        self.late.extend::<Vec<Call>>(dead);
-        self.late.retain(|call| call.swap.is_some());
+        self.delayed.extend::<Vec<Call>>(dead);
+        self.delayed.retain(|call| call.swap.is_some());
         for i in 0..self.requests.len() {
             let req = &mut self.requests[i];
-            if req.host == host && req.stage != Stage::Over {
-                req.stage = Stage::Over;
+            if req.host == host && req.stage != Stage::Ended {
+                req.stage = Stage::Ended;
             }
         }
     }
 
     /// Whether a host may delete a shard.
-    pub(super) fn may_prune(&self, host: usize) -> bool {
-        let first_kept = self.first_kept(host);
-        self.store.keys().any(|shard| shard.segment < first_kept)
+    pub(super) fn can_prune(&self, host: usize) -> bool {
+        let first_retained_segment = self.first_retained_segment(host);
+        self.store
+            .keys()
+            .any(|shard| shard.segment < first_retained_segment)
     }
 
-    fn first_kept(&self, host: usize) -> u64 {
+    fn first_retained_segment(&self, host: usize) -> u64 {
         let mut window = journal_config().window;
         if self.variant == Variant::PruneWithoutSkew {
             window.skew_ms = 0;
@@ -334,7 +336,8 @@
     }
 
     fn prune(&mut self, host: usize) {
-        let first_kept = self.first_kept(host);
-        self.store.retain(|shard, _| shard.segment >= first_kept);
+        let first_retained_segment = self.first_retained_segment(host);
+        self.store
+            .retain(|shard, _| shard.segment >= first_retained_segment);
     }
 }
--- a/crates/measure/src/actions/load.rs
+++ b/crates/measure/src/actions/load.rs
@@ -15,13 +15,13 @@
 pub const ROUND_TRIP: Duration = Duration::from_millis(4);
 
 /// Time that an action takes at its endpoint.
-const ACTION_TIME: Duration = Duration::from_millis(200);
+const ACTION_DURATION: Duration = Duration::from_millis(200);
 
 /// Measured span of virtual time, in seconds.
-const SPAN_S: u64 = 20;
+const DURATION_S: u64 = 20;
 
 /// Wall clock at the start, in milliseconds since the epoch.
-const EPOCH_MS: u64 = 1_000_000_000;
+const START_UNIX_MS: u64 = 1_000_000_000;
 
 const SEED: u64 = 6;
 
@@ -36,7 +36,7 @@
 
 /// What a run measured.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct JournalLoad {
     /// Swaps a second, refused ones included.
     pub swaps_per_s: f64,
     /// Reads a second.
@@ -44,38 +44,38 @@
     /// Bytes of shards written a second.
     pub bytes_per_s: f64,
     /// Mean time from the arrival of an action to its dispatch, in milliseconds.
-    pub mean_ms: f64,
+    pub mean_latency_ms: f64,
     /// The same for 99 in 100 actions, in milliseconds.
-    pub p99_ms: f64,
+    pub p99_latency_ms: f64,
     /// Actions that were refused.
     pub refused: u64,
 }
 
 #[derive(Clone, Debug)]
-enum Due {
+enum QueuedEvent {
     Arrival,
     AtService(usize, journal::Effect),
     AtHost(usize, journal::Event),
 }
 
 /// Entry of the queue of future events, ordered by time and then by number.
-struct Entry(time::Time, u64, Due);
+struct QueueEntry(time::Time, u64, QueuedEvent);
 
-impl PartialEq for Entry {
+impl PartialEq for QueueEntry {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Entry {}
+impl Eq for QueueEntry {}
 
-impl PartialOrd for Entry {
+impl PartialOrd for QueueEntry {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
+impl Ord for QueueEntry {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.0, self.1).cmp(&(other.0, other.1))
     }
@@ -86,15 +86,15 @@
     writers: Writers,
     actions_per_s: f64,
     rng: rand_chacha::ChaCha8Rng,
-    queue: BinaryHeap<Reverse<Entry>>,
+    queue: BinaryHeap<Reverse<QueueEntry>>,
     scheduled: u64,
     hosts: Vec<journal::Journal>,
     /// Next tick of each host.
     ticks: Vec<Option<time::Time>>,
     store: BTreeMap<journal::ShardId, journal::StoredShard>,
     revision: u64,
-    arrived: Vec<time::Time>,
-    waits_ms: Vec<f64>,
+    arrivals: Vec<time::Time>,
+    latencies_ms: Vec<f64>,
     swaps: u64,
     reads: u64,
     bytes: u64,
@@ -103,7 +103,7 @@
 
 /// Runs the journal at a rate of actions.
 #[must_use]
-pub fn run(cfg: journal::Config, writers: Writers, actions_per_s: f64) -> Load {
+pub fn run(cfg: journal::Config, writers: Writers, actions_per_s: f64) -> JournalLoad {
     let hosts = match writers {
         Writers::PerSlot => usize::from(cfg.slots),
         Writers::Owners(owners) => owners,
@@ -119,45 +119,46 @@
         ticks: vec![None; hosts],
         store: BTreeMap::new(),
         revision: 0,
-        arrived: Vec::new(),
-        waits_ms: Vec::new(),
+        arrivals: Vec::new(),
+        latencies_ms: Vec::new(),
         swaps: 0,
         reads: 0,
         bytes: 0,
         refused: 0,
     };
-    simulation.schedule(time::Time::ZERO, Due::Arrival);
+    simulation.schedule(time::Time::ZERO, QueuedEvent::Arrival);
     simulation.run();
-    simulation.load()
+    simulation.result()
 }
 
 impl Simulation {
-    fn schedule(&mut self, at: time::Time, due: Due) {
+    fn schedule(&mut self, at: time::Time, event: QueuedEvent) {
         self.scheduled += 1;
-        self.queue.push(Reverse(Entry(at, self.scheduled, due)));
+        self.queue
+            .push(Reverse(QueueEntry(at, self.scheduled, event)));
     }
 
     fn run(&mut self) {
-        while let Some(Reverse(Entry(now, _, due))) = self.queue.pop() {
-            if now > time::Time::from_secs(SPAN_S) {
+        while let Some(Reverse(QueueEntry(now, _, event))) = self.queue.pop() {
+            if now > time::Time::from_secs(DURATION_S) {
                 return;
             }
-            match due {
-                Due::Arrival => self.arrival(now),
-                Due::AtService(host, effect) => self.serve(host, effect, now),
-                Due::AtHost(host, event) => self.event(host, event, now),
+            match event {
+                QueuedEvent::Arrival => self.handle_arrival(now),
+                QueuedEvent::AtService(host, effect) => self.serve_call(host, effect, now),
+                QueuedEvent::AtHost(host, event) => self.handle_event(host, event, now),
             }
         }
     }
 
-    fn arrival(&mut self, now: time::Time) {
+    fn handle_arrival(&mut self, now: time::Time) {
         let gap_s = -self.rng.random::<f64>().max(f64::MIN_POSITIVE).ln() / self.actions_per_s;
-        self.schedule(now + Duration::from_secs_f64(gap_s), Due::Arrival);
-        let number = self.arrived.len() as u64;
-        self.arrived.push(now);
+        self.schedule(now + Duration::from_secs_f64(gap_s), QueuedEvent::Arrival);
+        let number = self.arrivals.len() as u64;
+        self.arrivals.push(now);
         let mut attempt = [0; 16];
         attempt[..8].copy_from_slice(&number.to_le_bytes());
-        let clock = wall(now);
+        let clock = wall_clock(now);
         let begin = journal::NewAttempt {
             attempt: journal::AttemptId(attempt),
             key: journal::ActionKey {
@@ -171,40 +172,40 @@
             Writers::PerSlot => usize::from(self.cfg.shard(&begin.key).slot),
             Writers::Owners(owners) => self.rng.random_range(0..owners),
         };
-        self.event(host, journal::Event::Begin(begin), now);
+        self.handle_event(host, journal::Event::Begin(begin), now);
     }
 
-    fn event(&mut self, host: usize, event: journal::Event, now: time::Time) {
-        let effects = self.hosts[host].handle(event, now, wall(now));
+    fn handle_event(&mut self, host: usize, event: journal::Event, now: time::Time) {
+        let effects = self.hosts[host].handle(event, now, wall_clock(now));
         for effect in effects {
-            self.effect(host, effect, now);
+            self.apply_effect(host, effect, now);
         }
-        self.wake(host, now);
+        self.schedule_tick(host, now);
     }
 
     /// Schedules the next tick of a host, unless one as early is scheduled.
-    fn wake(&mut self, host: usize, now: time::Time) {
-        let Some(due) = self.hosts[host].wakeup() else {
+    fn schedule_tick(&mut self, host: usize, now: time::Time) {
+        let Some(wakeup) = self.hosts[host].wakeup() else {
             return;
         };
-        let due = due.max(now);
-        if self.ticks[host].is_none_or(|tick| due < tick || tick <= now) {
-            self.ticks[host] = Some(due);
-            self.schedule(due, Due::AtHost(host, journal::Event::Tick));
+        let wakeup = wakeup.max(now);
+        if self.ticks[host].is_none_or(|tick| wakeup < tick || tick <= now) {
+            self.ticks[host] = Some(wakeup);
+            self.schedule(wakeup, QueuedEvent::AtHost(host, journal::Event::Tick));
         }
     }
 
-    fn effect(&mut self, host: usize, effect: journal::Effect, now: time::Time) {
+    fn apply_effect(&mut self, host: usize, effect: journal::Effect, now: time::Time) {
         match effect {
             journal::Effect::Read { .. } | journal::Effect::Swap { .. } => {
-                self.schedule(now + ROUND_TRIP / 2, Due::AtService(host, effect));
+                self.schedule(now + ROUND_TRIP / 2, QueuedEvent::AtService(host, effect));
             }
             journal::Effect::Dispatch { attempt, .. } => {
                 let mut number = [0; 8];
                 number.copy_from_slice(&attempt.0[..8]);
-                let arrived = self.arrived[u64::from_le_bytes(number) as usize];
-                self.waits_ms
-                    .push(now.since(arrived).as_secs_f64() * 1_000.0);
+                let arrived_at = self.arrivals[u64::from_le_bytes(number) as usize];
+                self.latencies_ms
+                    .push(now.since(arrived_at).as_secs_f64() * 1_000.0);
                 let body = Bytes::from_static(b"{\"booking\":\"0123456789abcdef\"}");
                 let content_type = Bytes::from_static(b"application/json");
                 let result = journal::AttemptResult::Run(journal::RecordedAnswer::new(
@@ -213,13 +214,13 @@
                     &body,
                 ));
                 let finished = journal::Event::Finished { attempt, result };
-                self.schedule(now + ACTION_TIME, Due::AtHost(host, finished));
+                self.schedule(now + ACTION_DURATION, QueuedEvent::AtHost(host, finished));
             }
             journal::Effect::Answer { .. } => self.refused += 1,
         }
     }
 
-    fn serve(&mut self, host: usize, effect: journal::Effect, now: time::Time) {
+    fn serve_call(&mut self, host: usize, effect: journal::Effect, now: time::Time) {
         let event = match effect {
             journal::Effect::Read { call, shard } => {
                 self.reads += 1;
@@ -248,24 +249,28 @@
             }
             journal::Effect::Dispatch { .. } | journal::Effect::Answer { .. } => return,
         };
-        self.schedule(now + ROUND_TRIP / 2, Due::AtHost(host, event));
+        self.schedule(now + ROUND_TRIP / 2, QueuedEvent::AtHost(host, event));
     }
 
-    fn load(mut self) -> Load {
-        self.waits_ms.sort_by(f64::total_cmp);
-        let count = self.waits_ms.len().max(1);
-        let per_s = |count: u64| count as f64 / SPAN_S as f64;
-        Load {
+    fn result(mut self) -> JournalLoad {
+        self.latencies_ms.sort_by(f64::total_cmp);
+        let count = self.latencies_ms.len().max(1);
+        let per_s = |count: u64| count as f64 / DURATION_S as f64;
+        JournalLoad {
             swaps_per_s: per_s(self.swaps),
             reads_per_s: per_s(self.reads),
             bytes_per_s: per_s(self.bytes),
-            mean_ms: self.waits_ms.iter().sum::<f64>() / count as f64,
-            p99_ms: self.waits_ms.get(count * 99 / 100).copied().unwrap_or(0.0),
+            mean_latency_ms: self.latencies_ms.iter().sum::<f64>() / count as f64,
+            p99_latency_ms: self
+                .latencies_ms
+                .get(count * 99 / 100)
+                .copied()
+                .unwrap_or(0.0),
             refused: self.refused,
         }
     }
 }
 
-fn wall(now: time::Time) -> journal::UnixMillis {
-    journal::UnixMillis(EPOCH_MS + now.as_micros() / 1_000)
+fn wall_clock(now: time::Time) -> journal::UnixMillis {
+    journal::UnixMillis(START_UNIX_MS + now.as_micros() / 1_000)
 }
--- a/crates/measure/src/actions/mod.rs
+++ b/crates/measure/src/actions/mod.rs
@@ -4,15 +4,15 @@
 //! long random orders of a larger one, and [`load`] runs the journal at the size to design for.
 //! [`answers`] sends answers over a faulty network, and [`outage`] counts attempts at an outage.
 
-pub mod action;
 pub mod answers;
 mod apply;
 pub mod load;
+pub mod model;
 pub mod outage;
-mod report;
+mod readings;
 pub mod schedules;
 pub mod scopes;
 pub mod search;
-pub mod world;
+pub mod step;
 
-pub use report::run;
+pub use readings::run;
--- a/crates/measure/src/actions/world.rs
+++ b/crates/measure/src/actions/model.rs
@@ -20,11 +20,11 @@
     /// A lost answer to a swap is taken for success.
     LostAnswerIsSuccess,
     /// The retention window is checked with the clock as it was when the attempt came.
-    ClockOfArrival,
+    ClockAtArrival,
     /// Shards are deleted without allowing for the skew of the clocks.
     PruneWithoutSkew,
     /// A dispatched attempt whose connection was lost is recorded as not run.
-    LostDispatchIsNotRun,
+    LostConnectionIsNotRun,
 }
 
 /// How many of each step a trial may take.
@@ -35,9 +35,9 @@
     /// Keys, all in one shard.
     pub keys: u8,
     /// Requests of callers, first ones and repeats.
-    pub begins: u8,
+    pub requests: u8,
     /// Requests that reuse a key with another body.
-    pub reuses: u8,
+    pub key_reuses: u8,
     /// Calls to the service that fail, with or without effect.
     pub store_faults: u8,
     /// Connections to the endpoint that fail.
@@ -59,10 +59,10 @@
 pub const PHASES_MS: [u64; 4] = [1_049, 1_105, 1_154, 1_155];
 
 /// Time in every key: the last of its segment, which is the worst case for deletion.
-const KEY_AT: journal::UnixMillis = journal::UnixMillis(1_049);
+const KEY_ISSUED_AT: journal::UnixMillis = journal::UnixMillis(1_049);
 
 /// Time within which an attempt has to be dispatched, in milliseconds.
-const PATIENCE_MS: u64 = 40;
+const DISPATCH_TIMEOUT_MS: u64 = 40;
 
 /// Settings of the journals: a short window and no pacing.
 #[must_use]
@@ -90,12 +90,12 @@
     /// Phase in which the journal last took an event.
     pub(super) phase: usize,
     /// Answers of the service that the host has not taken yet.
-    pub(super) inbox: Vec<Answered>,
+    pub(super) inbox: Vec<CallResult>,
 }
 
 /// What the service answered, or that no answer came.
 #[derive(Clone, Debug, Hash)]
-pub(super) enum Answered {
+pub(super) enum CallResult {
     Loaded(journal::CallId, journal::StoredShard),
     ReadFailed(journal::CallId),
     Swapped(journal::CallId, journal::ModRevision),
@@ -118,13 +118,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Stage {
     /// The journal of its host has it.
-    Journal,
+    InJournal,
     /// The host may dispatch it.
     Permitted { not_after: journal::UnixMillis },
     /// The endpoint ran it and its answer is on the way back.
     Ran,
     /// Nothing more happens to it at its host.
-    Over,
+    Ended,
 }
 
 /// A request of a caller.
@@ -137,9 +137,9 @@
     /// Whether the endpoint ran it.
     pub(super) ran: bool,
     /// Outcome that the caller was told, or `None` if it got no answer.
-    pub(super) told: Option<outcome::Outcome>,
+    pub(super) reported_outcome: Option<outcome::Outcome>,
     /// Clock of the host when the request came.
-    pub(super) came: journal::UnixMillis,
+    pub(super) arrived_at: journal::UnixMillis,
 }
 
 /// A promise that was broken.
@@ -157,9 +157,9 @@
 
 /// State of a trial.
 #[derive(Clone, Debug, Hash)]
-pub struct World {
+pub struct Model {
     pub(super) variant: Variant,
-    pub(super) left: Scope,
+    pub(super) remaining: Scope,
     /// Index in the phases of the scope.
     pub(super) phase: usize,
     pub(super) hosts: Vec<Host>,
@@ -167,12 +167,12 @@
     pub(super) revision: u64,
     pub(super) calls: Vec<Call>,
     /// Swaps whose author has given up waiting, which may still take effect.
-    pub(super) late: Vec<Call>,
+    pub(super) delayed: Vec<Call>,
     /// Requests; the index is the attempt's number.
     pub(super) requests: Vec<Request>,
 }
 
-impl World {
+impl Model {
     /// Starts a trial.
     #[must_use]
     pub fn new(scope: Scope, variant: Variant) -> Self {
@@ -184,13 +184,13 @@
         };
         Self {
             variant,
-            left: scope,
+            remaining: scope,
             phase: 0,
             hosts: (0..scope.hosts).map(host).collect(),
             store: BTreeMap::new(),
             revision: 0,
             calls: Vec::new(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             requests: Vec::new(),
         }
     }
@@ -225,16 +225,16 @@
     }
 
     fn true_ms(&self) -> u64 {
-        PHASES_MS[self.left.phases[self.phase]]
+        PHASES_MS[self.remaining.phases[self.phase]]
     }
 
-    pub(super) fn begin_event(&self, attempt: usize) -> journal::NewAttempt {
+    pub(super) fn new_attempt(&self, attempt: usize) -> journal::NewAttempt {
         let req = &self.requests[attempt];
         journal::NewAttempt {
             attempt: attempt_id(attempt),
             key: action_key(req.key),
             fingerprint: req.fingerprint,
-            not_after: req.came.plus(PATIENCE_MS),
+            not_after: req.arrived_at.plus(DISPATCH_TIMEOUT_MS),
         }
     }
 
@@ -245,11 +245,11 @@
             return Some(Violation::RanTwice);
         }
         let not_run = Some(outcome::Outcome::NotRun);
-        let lie = self
+        let false_not_run = self
             .requests
             .iter()
-            .any(|req| req.ran && req.told == not_run);
-        lie.then_some(Violation::FalseNotRun)
+            .any(|req| req.ran && req.reported_outcome == not_run);
+        false_not_run.then_some(Violation::FalseNotRun)
     }
 }
 
@@ -268,7 +268,7 @@
 fn action_key(key: u8) -> journal::ActionKey {
     journal::ActionKey {
         hash: journal::KeyHash([key; 16]),
-        issued_at: KEY_AT,
+        issued_at: KEY_ISSUED_AT,
     }
 }
 
--- a/crates/measure/src/actions/outage.rs
+++ b/crates/measure/src/actions/outage.rs
@@ -11,25 +11,27 @@
 const OUTAGE_S: u64 = 60;
 
 /// Time that a caller gives its request.
-const PATIENCE: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time between two tokens of a stream.
-const TOKEN_GAP: Duration = Duration::from_millis(26);
+const TOKEN_INTERVAL: Duration = Duration::from_millis(26);
 
 /// Attempts per request at one host while no endpoint can be connected, for the given budget.
 #[must_use]
 pub fn attempts_per_request(budget: retry::BudgetConfig) -> f64 {
     let mut budget = retry::Budget::new(budget);
     let requests = REQUESTS_PER_S * OUTAGE_S;
-    let attempts: u64 = (0..requests).map(|n| attempts_of(n, &mut budget)).sum();
+    let attempts: u64 = (0..requests)
+        .map(|n| attempts_for_request(n, &mut budget))
+        .sum();
     attempts as f64 / requests as f64
 }
 
-fn attempts_of(n: u64, budget: &mut retry::Budget) -> u64 {
+fn attempts_for_request(n: u64, budget: &mut retry::Budget) -> u64 {
     let mut now = time::Time::from_millis(n * 1_000 / REQUESTS_PER_S);
     let cfg = retry::Config::default();
-    let repeat = request::Idempotency::Idempotent;
-    let mut req = retry::RetryState::new(cfg, repeat, now + PATIENCE, n, budget);
+    let idempotency = request::Idempotency::Idempotent;
+    let mut req = retry::RetryState::new(cfg, idempotency, now + REQUEST_TIMEOUT, n, budget);
     while req.start_attempt(now).is_ok() {
         let failure = retry::Failure {
             reason: reason::Refusal::ConnectFailed,
@@ -48,25 +50,25 @@
 /// Longest time from the last byte that arrived on a link until it is found silent, over the
 /// points of a second at which it can fall silent.
 #[must_use]
-pub fn silent_detection() -> Duration {
+pub fn max_silence_detection_time() -> Duration {
     let starts = (0..1_000).map(time::Time::from_millis);
-    starts.map(detection).max().unwrap_or_default()
+    starts.map(silence_detection_time).max().unwrap_or_default()
 }
 
-fn detection(silent_from: time::Time) -> Duration {
+fn silence_detection_time(silent_from: time::Time) -> Duration {
     let mut link = liveness::Link::new(liveness::LinkConfig::default(), time::Time::ZERO);
     link.stream_opened(time::Time::ZERO);
-    let mut heard = time::Time::ZERO;
+    let mut last_received = time::Time::ZERO;
     let mut now = time::Time::ZERO;
     loop {
         match link.check(now) {
-            liveness::Check::Silent => return now.since(heard),
+            liveness::Check::Silent => return now.since(last_received),
             liveness::Check::Ping(_) => {}
-            liveness::Check::Wait(due) => now = due.unwrap_or(now).min(now + TOKEN_GAP),
+            liveness::Check::Wait(due) => now = due.unwrap_or(now).min(now + TOKEN_INTERVAL),
         }
         if now <= silent_from {
             link.record_received(now);
-            heard = now;
+            last_received = now;
         }
     }
 }
--- a/crates/measure/src/actions/report.rs
+++ b/crates/measure/src/actions/readings.rs
@@ -4,15 +4,15 @@
 
 use pistachiochute_core::{journal, retry};
 
-use crate::actions::world::{Scope, Variant};
+use crate::actions::model::{Scope, Variant};
 use crate::actions::{answers, load, outage, schedules, scopes, search};
 use crate::figure;
 
 /// Seeded fault schedules of the journal.
-const SCHEDULES: u64 = 120_000;
+const SCHEDULE_COUNT: u64 = 120_000;
 
 /// Requests whose answers are sent with faults.
-const ANSWERS: u64 = 100_000;
+const ANSWER_COUNT: u64 = 100_000;
 
 const ANSWERS_SEED: u64 = 0xa115;
 
@@ -40,22 +40,22 @@
     let (explored, tally) = thread::scope(|scope| {
         let large = scope.spawn(|| explore(scopes::LARGE));
         let small = scope.spawn(|| explore(scopes::SMALL));
-        let tally = schedules::run(0..SCHEDULES, Variant::Sound);
+        let tally = schedules::run(0..SCHEDULE_COUNT, Variant::Sound);
         (
             join(large).and_then(|large| Ok(large + join(small)?)),
             tally,
         )
     });
     let states = explored?;
-    let answers = answers::run(ANSWERS, ANSWERS_SEED);
+    let answers = answers::run(ANSWER_COUNT, ANSWERS_SEED);
     let unlimited = retry::BudgetConfig {
         per_request_thousandths: 10_000,
         reserve: 1_000_000,
     };
     let attempts = outage::attempts_per_request(retry::BudgetConfig::default());
     let unlimited = outage::attempts_per_request(unlimited);
-    let wrong = answers.wrong + tally.wrong_answers;
-    let silent = outage::silent_detection().as_secs_f64();
+    let wrong = answers.invalid + tally.wrong_answers;
+    let silent = outage::max_silence_detection_time().as_secs_f64();
     let mut readings = vec![
         reading(
             "runs_per_key_max",
@@ -77,7 +77,7 @@
         ),
         reading("silent_detection_s", silent, "s", None),
     ];
-    readings.extend(loads());
+    readings.extend(journal_load_readings());
     Ok(readings)
 }
 
@@ -95,7 +95,7 @@
         if let Some(found) = explored.counterexample {
             eyre::bail!("{name}: {:?} by {:?}", found.violation, found.steps);
         }
-        eyre::ensure!(!explored.cut_short, "{name}: more than {MAX_STATES} states");
+        eyre::ensure!(!explored.truncated, "{name}: more than {MAX_STATES} states");
         states += explored.states;
     }
     Ok(states)
@@ -103,14 +103,14 @@
 
 /// Load of the journal at 1, 5 and 20% actions, with one writer a slot. The baseline is a record
 /// per key.
-fn loads() -> Vec<figure::Reading> {
+fn journal_load_readings() -> Vec<figure::Reading> {
     let cfg = journal::Config::default();
     let at = |share: f64| load::run(cfg, load::Writers::PerSlot, REQUESTS_PER_S * share);
     let record = |share: f64| Some(REQUESTS_PER_S * share * WRITES_PER_RECORD);
     let [one, five, twenty] = [at(0.01), at(0.05), at(0.2)];
     let owners = load::Writers::Owners(SERVICE_OWNERS);
     let owners = load::run(cfg, owners, REQUESTS_PER_S * 0.01);
-    let leases = leases(0.2);
+    let leased_writes_per_s = leased_writes_per_s(0.2);
     let record_ms = Some(load::ROUND_TRIP.as_secs_f64() * 1_000.0);
     vec![
         reading(
@@ -133,7 +133,7 @@
         ),
         reading(
             "journal_writes_per_s_20pct_leases",
-            leases,
+            leased_writes_per_s,
             "writes/s",
             record(0.2),
         ),
@@ -155,16 +155,21 @@
             "bytes/s",
             None,
         ),
-        reading("journal_added_latency_ms", one.mean_ms, "ms", record_ms),
+        reading(
+            "journal_added_latency_ms",
+            one.mean_latency_ms,
+            "ms",
+            record_ms,
+        ),
         reading(
             "journal_added_latency_ms_20pct",
-            twenty.mean_ms,
+            twenty.mean_latency_ms,
             "ms",
             record_ms,
         ),
         reading(
             "journal_added_latency_p99_ms_20pct",
-            twenty.p99_ms,
+            twenty.p99_latency_ms,
             "ms",
             record_ms,
         ),
@@ -179,7 +184,7 @@
 
 /// Writes a second if each owner holds a lease on shards of its own and commits in groups: its
 /// swaps and the renewals of its lease.
-fn leases(share: f64) -> f64 {
+fn leased_writes_per_s(share: f64) -> f64 {
     let cfg = journal::Config {
         slots: SERVICE_OWNERS as u16,
         ..journal::Config::default()
--- a/crates/measure/src/actions/schedules.rs
+++ b/crates/measure/src/actions/schedules.rs
@@ -2,15 +2,15 @@
 
 use rand::{Rng as _, SeedableRng as _};
 
-use crate::actions::action::Action;
-use crate::actions::world::{Scope, Variant, Violation, World};
+use crate::actions::model::{Model, Scope, Variant, Violation};
+use crate::actions::step::Step;
 
 /// Scope of a schedule; larger than an exhaustive search can reach.
 pub const SCOPE: Scope = Scope {
     hosts: 3,
     keys: 3,
-    begins: 8,
-    reuses: 1,
+    requests: 8,
+    key_reuses: 1,
     store_faults: 4,
     endpoint_faults: 2,
     kills: 2,
@@ -22,7 +22,7 @@
 const MAX_STEPS: usize = 400;
 
 /// Of how many choices of a step that begins a request, moves time or kills a host one is taken.
-const RARE: u32 = 12;
+const RARE_STEP_DIVISOR: u32 = 12;
 
 /// What the schedules found.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -42,7 +42,7 @@
 impl Tally {
     /// Adds the tally of other schedules.
     #[must_use]
-    pub fn join(self, other: Self) -> Self {
+    pub fn merge(self, other: Self) -> Self {
         Self {
             schedules: self.schedules + other.schedules,
             runs: self.runs + other.runs,
@@ -58,35 +58,35 @@
 pub fn run(seeds: std::ops::Range<u64>, variant: Variant) -> Tally {
     seeds
         .map(|seed| schedule(seed, variant))
-        .fold(Tally::default(), Tally::join)
+        .fold(Tally::default(), Tally::merge)
 }
 
 fn schedule(seed: u64, variant: Variant) -> Tally {
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
-    let mut world = World::new(SCOPE, variant);
-    let mut broken = None;
+    let mut model = Model::new(SCOPE, variant);
+    let mut violation = None;
     for _ in 0..MAX_STEPS {
-        let actions = world.actions();
-        if actions.is_empty() || broken.is_some() {
+        let steps = model.enabled_steps();
+        if steps.is_empty() || violation.is_some() {
             break;
         }
-        let action = actions[rng.random_range(0..actions.len())];
+        let step = steps[rng.random_range(0..steps.len())];
         let rare = matches!(
-            action,
-            Action::Begin { .. } | Action::Advance | Action::Kill(_)
+            step,
+            Step::SendRequest { .. } | Step::AdvancePhase | Step::Kill(_)
         );
-        if rare && !rng.random_ratio(1, RARE) {
+        if rare && !rng.random_ratio(1, RARE_STEP_DIVISOR) {
             continue;
         }
-        broken = world.apply(action).err();
+        violation = model.apply(step).err();
     }
     Tally {
         schedules: 1,
-        runs: world.runs() as u64,
-        runs_per_key_max: world.runs_per_key_max() as u64,
-        false_not_run: u64::from(broken == Some(Violation::FalseNotRun)),
+        runs: model.runs() as u64,
+        runs_per_key_max: model.runs_per_key_max() as u64,
+        false_not_run: u64::from(violation == Some(Violation::FalseNotRun)),
         wrong_answers: u64::from(matches!(
-            broken,
+            violation,
             Some(Violation::WrongAnswer | Violation::FalseReuse)
         )),
     }
--- a/crates/measure/src/actions/scopes.rs
+++ b/crates/measure/src/actions/scopes.rs
@@ -1,13 +1,13 @@
 //! Scopes of the bounded exhaustive searches, each round one kind of fault.
 
-use crate::actions::world::Scope;
+use crate::actions::model::Scope;
 
 /// Two hosts and two requests with one key, without faults, while the key is fresh.
-const TWO_OWNERS: Scope = Scope {
+const TWO_HOSTS: Scope = Scope {
     hosts: 2,
     keys: 1,
-    begins: 2,
-    reuses: 0,
+    requests: 2,
+    key_reuses: 0,
     store_faults: 0,
     endpoint_faults: 0,
     kills: 0,
@@ -27,7 +27,7 @@
         "lost answers and late writes",
         Scope {
             store_faults: 2,
-            ..TWO_OWNERS
+            ..TWO_HOSTS
         },
     ),
     (
@@ -35,23 +35,23 @@
         Scope {
             store_faults: 1,
             kills: 1,
-            ..TWO_OWNERS
+            ..TWO_HOSTS
         },
     ),
     (
         "repeats and endpoint faults",
         Scope {
-            begins: 3,
+            requests: 3,
             endpoint_faults: 1,
-            ..TWO_OWNERS
+            ..TWO_HOSTS
         },
     ),
     (
         "another body",
         Scope {
             store_faults: 1,
-            reuses: 1,
-            ..TWO_OWNERS
+            key_reuses: 1,
+            ..TWO_HOSTS
         },
     ),
     (
@@ -59,14 +59,14 @@
         Scope {
             store_faults: 1,
             cancels: 1,
-            ..TWO_OWNERS
+            ..TWO_HOSTS
         },
     ),
     (
         "group commit",
         Scope {
             keys: 2,
-            ..TWO_OWNERS
+            ..TWO_HOSTS
         },
     ),
     (
@@ -74,14 +74,14 @@
         Scope {
             store_faults: 1,
             phases: TO_DEADLINE,
-            ..TWO_OWNERS
+            ..TWO_HOSTS
         },
     ),
     (
         "paused past the deletion, clocks skewed",
         Scope {
             phases: TO_DELETION,
-            ..TWO_OWNERS
+            ..TWO_HOSTS
         },
     ),
 ];
@@ -93,35 +93,35 @@
         Scope {
             store_faults: 3,
             endpoint_faults: 1,
-            ..TWO_OWNERS
+            ..TWO_HOSTS
         },
     ),
     (
         "owners killed, repeats",
         Scope {
-            begins: 3,
+            requests: 3,
             store_faults: 1,
             kills: 1,
             endpoint_faults: 1,
-            ..TWO_OWNERS
+            ..TWO_HOSTS
         },
     ),
     (
         "three owners",
         Scope {
             hosts: 3,
-            begins: 3,
+            requests: 3,
             store_faults: 1,
-            ..TWO_OWNERS
+            ..TWO_HOSTS
         },
     ),
     (
         "group commit with lost answers",
         Scope {
             keys: 2,
-            begins: 3,
+            requests: 3,
             store_faults: 1,
-            ..TWO_OWNERS
+            ..TWO_HOSTS
         },
     ),
     (
@@ -129,7 +129,7 @@
         Scope {
             store_faults: 1,
             phases: TO_DELETION,
-            ..TWO_OWNERS
+            ..TWO_HOSTS
         },
     ),
 ];
--- a/crates/measure/src/actions/search.rs
+++ b/crates/measure/src/actions/search.rs
@@ -4,8 +4,8 @@
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 use std::rc::Rc;
 
-use crate::actions::action::Action;
-use crate::actions::world::{Scope, Variant, Violation, World};
+use crate::actions::model::{Model, Scope, Variant, Violation};
+use crate::actions::step::Step;
 
 /// A promise that a search found broken, and the steps that break it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -13,12 +13,12 @@
     /// The promise.
     pub violation: Violation,
     /// The steps.
-    pub steps: Vec<Action>,
+    pub steps: Vec<Step>,
 }
 
 /// What a search found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Explored {
+pub struct SearchResult {
     /// Different states reached.
     pub states: u64,
     /// Steps taken.
@@ -28,60 +28,60 @@
     /// First broken promise. The search ends there.
     pub counterexample: Option<Counterexample>,
     /// Whether the search ended at its bound on states, before every order was tried.
-    pub cut_short: bool,
+    pub truncated: bool,
 }
 
 /// Steps from the start of a trial to a state, latest first.
-struct Trail {
-    action: Action,
-    before: Option<Rc<Trail>>,
+struct Path {
+    step: Step,
+    previous: Option<Rc<Path>>,
 }
 
-fn steps_of(trail: Option<&Rc<Trail>>) -> Vec<Action> {
+fn steps_along(path: Option<&Rc<Path>>) -> Vec<Step> {
     let mut steps = Vec::new();
-    let mut next = trail;
-    while let Some(trail) = next {
-        steps.push(trail.action);
-        next = trail.before.as_ref();
+    let mut next = path;
+    while let Some(path) = next {
+        steps.push(path.step);
+        next = path.previous.as_ref();
     }
     steps.reverse();
     steps
 }
 
-fn fingerprint(world: &World) -> u64 {
+fn fingerprint(model: &Model) -> u64 {
     let mut hasher = DefaultHasher::new();
-    world.hash(&mut hasher);
+    model.hash(&mut hasher);
     hasher.finish()
 }
 
 /// Tries every order of the steps that the scope allows, up to a bound on states.
 #[must_use]
-pub fn search(scope: Scope, variant: Variant, max_states: u64) -> Explored {
-    let start = World::new(scope, variant);
+pub fn search(scope: Scope, variant: Variant, max_states: u64) -> SearchResult {
+    let start = Model::new(scope, variant);
     let mut seen = HashSet::from([fingerprint(&start)]);
-    let mut open: Vec<(World, Option<Rc<Trail>>)> = vec![(start, None)];
-    let mut explored = Explored::default();
-    while let Some((world, trail)) = open.pop() {
-        explored.states += 1;
-        explored.runs_per_key_max = explored.runs_per_key_max.max(world.runs_per_key_max());
-        for action in world.actions() {
-            let mut next = world.clone();
-            explored.steps += 1;
-            let before = trail.clone();
-            let trail = Some(Rc::new(Trail { action, before }));
-            if let Err(violation) = next.apply(action) {
-                let steps = steps_of(trail.as_ref());
-                explored.counterexample = Some(Counterexample { violation, steps });
-                return explored;
+    let mut frontier: Vec<(Model, Option<Rc<Path>>)> = vec![(start, None)];
+    let mut result = SearchResult::default();
+    while let Some((model, path)) = frontier.pop() {
+        result.states += 1;
+        result.runs_per_key_max = result.runs_per_key_max.max(model.runs_per_key_max());
+        for step in model.enabled_steps() {
+            let mut next = model.clone();
+            result.steps += 1;
+            let previous = path.clone();
+            let path = Some(Rc::new(Path { step, previous }));
+            if let Err(violation) = next.apply(step) {
+                let steps = steps_along(path.as_ref());
+                result.counterexample = Some(Counterexample { violation, steps });
+                return result;
             }
             if seen.insert(fingerprint(&next)) {
-                open.push((next, trail));
+                frontier.push((next, path));
             }
         }
-        if explored.states >= max_states {
-            explored.cut_short = !open.is_empty();
-            return explored;
+        if result.states >= max_states {
+            result.truncated = !frontier.is_empty();
+            return result;
         }
     }
-    explored
+    result
 }
--- a/crates/measure/tests/journal_search.rs
+++ b/crates/measure/tests/journal_search.rs
@@ -1,71 +1,65 @@
 //! The journal of actions holds its promises in every order of steps, and the search finds the
 //! shortcuts that break them.
 
-use pistachiochute_measure::actions::{answers, schedules, scopes, search, world};
+use pistachiochute_measure::actions::{answers, model, schedules, scopes, search};
 
 /// More states than any of these searches reaches.
 const MAX_STATES: u64 = 1_000_000;
 
 /// Promises that a shortcut breaks in the small scopes.
-fn broken_by(variant: world::Variant) -> Vec<world::Violation> {
-    let explore = |(_, scope): &(&str, world::Scope)| search::search(*scope, variant, MAX_STATES);
+fn violations_of(variant: model::Variant) -> Vec<model::Violation> {
+    let explore = |(_, scope): &(&str, model::Scope)| search::search(*scope, variant, MAX_STATES);
     let found = scopes::SMALL.iter().map(explore);
     found
-        .filter_map(|explored| explored.counterexample)
+        .filter_map(|result| result.counterexample)
         .map(|counterexample| counterexample.violation)
         .collect()
 }
 
 #[test]
-fn every_order_of_steps_keeps_the_promises() {
+fn every_step_order_keeps_the_guarantees() {
     for (name, scope) in scopes::SMALL {
-        let explored = search::search(*scope, world::Variant::Sound, MAX_STATES);
-        println!(
-            "{name}: {} states, {} steps",
-            explored.states, explored.steps
-        );
-        assert_eq!(explored.counterexample, None, "{name}");
-        assert!(!explored.cut_short, "{name}");
-        assert_eq!(
-            explored.runs_per_key_max, 1,
-            "{name}: the action never runs"
-        );
+        let result = search::search(*scope, model::Variant::Sound, MAX_STATES);
+        println!("{name}: {} states, {} steps", result.states, result.steps);
+        assert_eq!(result.counterexample, None, "{name}");
+        assert!(!result.truncated, "{name}");
+        assert_eq!(result.runs_per_key_max, 1, "{name}: the action never runs");
     }
 }
 
 #[test]
 fn dispatch_before_confirmation_is_caught() {
-    let broken = broken_by(world::Variant::DispatchBeforeConfirmation);
-    assert!(broken.contains(&world::Violation::RanTwice));
+    let violations = violations_of(model::Variant::DispatchBeforeConfirmation);
+    assert!(violations.contains(&model::Violation::RanTwice));
 }
 
 #[test]
-fn a_lost_answer_taken_for_success_is_caught() {
-    let broken = broken_by(world::Variant::LostAnswerIsSuccess);
-    assert!(broken.contains(&world::Violation::RanTwice));
+fn lost_swap_answer_treated_as_success_is_caught() {
+    let violations = violations_of(model::Variant::LostAnswerIsSuccess);
+    assert!(violations.contains(&model::Violation::RanTwice));
 }
 
 #[test]
-fn a_window_checked_before_the_confirmation_is_caught() {
-    let broken = broken_by(world::Variant::ClockOfArrival);
-    assert!(broken.contains(&world::Violation::RanTwice));
+fn retention_window_not_rechecked_after_confirmation_is_caught() {
+    let violations = violations_of(model::Variant::ClockAtArrival);
+    assert!(violations.contains(&model::Violation::RanTwice));
 }
 
 #[test]
-fn deletion_without_allowing_for_skew_is_caught() {
-    let broken = broken_by(world::Variant::PruneWithoutSkew);
-    assert!(broken.contains(&world::Violation::RanTwice));
+fn shard_deletion_without_clock_skew_margin_is_caught() {
+    let violations = violations_of(model::Variant::PruneWithoutSkew);
+    assert!(violations.contains(&model::Violation::RanTwice));
 }
 
 #[test]
-fn a_lost_dispatch_recorded_as_not_run_is_caught() {
-    let broken = broken_by(world::Variant::LostDispatchIsNotRun);
-    assert!(broken.contains(&world::Violation::FalseNotRun));
+fn lost_connection_recorded_as_not_run_is_caught() {
+    let violations = violations_of(model::Variant::LostConnectionIsNotRun);
+    assert!(violations.contains(&model::Violation::FalseNotRun));
 }
 
 #[test]
-fn random_schedules_keep_the_promises() {
-    let tally = schedules::run(0..2_000, world::Variant::Sound);
+fn random_schedules_keep_the_guarantees() {
+    let tally = schedules::run(0..2_000, model::Variant::Sound);
     assert_eq!(tally.runs_per_key_max, 1);
     assert_eq!(tally.false_not_run, 0);
     assert_eq!(tally.wrong_answers, 0);
@@ -73,11 +67,11 @@
 }
 
 #[test]
-fn answers_over_a_faulty_network_are_whole_or_fail() {
+fn answers_over_a_faulty_network_are_complete_or_fail() {
     let tally = answers::run(5_000, 1);
-    assert_eq!(tally.wrong, 0);
+    assert_eq!(tally.invalid, 0);
     assert!(
-        tally.whole > 1_000 && tally.failed > 100 && tally.resumed > 100,
+        tally.complete > 1_000 && tally.failed > 100 && tally.resumed > 100,
         "{tally:?}"
     );
 }
