--- a/crates/measure/src/lists/distribution.rs
+++ b/crates/measure/src/lists/distribution.rs
@@ -7,31 +7,31 @@
 use pistachiochute_core::{entity, entity::Entity as _, time};
 use rand::{Rng as _, SeedableRng as _};
 
-use super::clock::Agenda;
+use super::event_queue::EventQueue;
 use super::population;
 
-const SECOND: u64 = 1_000_000;
+const MICROS_PER_S: u64 = 1_000_000;
 
 /// Length of a run, in seconds.
-const LENGTH_S: u64 = 300;
+const DURATION_S: u64 = 300;
 
 /// Time in which the start settles, in seconds.
-const SETTLE_S: u64 = 10;
+const WARM_UP_S: u64 = 10;
 
 /// Seconds between two changes: 4,400 a day.
 const CHANGE_PERIOD_S: f64 = 86_400.0 / 4_400.0;
 
 /// Period of the replicas' ticks, in microseconds.
-const TICK: u64 = 250_000;
+const TICK_US: u64 = 250_000;
 
 /// Part of the messages between domains that are lost.
-const LOSS: f64 = 0.02;
+const LOSS_PROBABILITY: f64 = 0.02;
 
 /// Seconds between two restarts of a host, many times the expected churn.
 const RESTART_PERIOD_S: u64 = 7;
 
 /// Calls that a watch counts as, a second: one waiting call a minute.
-const WATCH_CALLS_S: f64 = 1.0 / 60.0;
+const CALLS_PER_WATCH_S: f64 = 1.0 / 60.0;
 
 /// Shape of a fleet.
 #[derive(Debug)]
@@ -78,10 +78,10 @@
     Restart,
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     fleet: &'a Fleet,
     rng: rand_chacha::ChaCha8Rng,
-    agenda: Agenda<Event>,
+    events: EventQueue<Event>,
     replicas: BTreeMap<entity::HostId, Replica>,
     watchers: Vec<entity::HostId>,
     store: Snapshot,
@@ -101,40 +101,41 @@
 ///
 /// Returns an error if a message cannot be encoded.
 pub fn run(fleet: &Fleet) -> eyre::Result<Distribution> {
-    let mut world = World::new(fleet);
-    let end = (SETTLE_S + LENGTH_S) * SECOND;
-    while let Some((now, event)) = world.agenda.next() {
+    let mut simulation = Simulation::new(fleet);
+    let end = (WARM_UP_S + DURATION_S) * MICROS_PER_S;
+    while let Some((now, event)) = simulation.events.pop() {
         if now >= end {
             break;
         }
-        if !world.counting && now >= SETTLE_S * SECOND {
-            world.counting = true;
+        if !simulation.counting && now >= WARM_UP_S * MICROS_PER_S {
+            simulation.counting = true;
         }
-        world.apply(now, event)?;
+        simulation.handle_event(now, event)?;
     }
-    let span = LENGTH_S as f64;
-    let bytes = world.sent.values().sum::<u64>() as f64;
-    let busiest = world.sent.values().max().copied().unwrap_or_default() as f64;
-    let whole = population::message_bytes(&message::Message::Snapshot(world.store.clone()))?;
+    let span = DURATION_S as f64;
+    let bytes = simulation.sent.values().sum::<u64>() as f64;
+    let busiest = simulation.sent.values().max().copied().unwrap_or_default() as f64;
+    let snapshot_bytes =
+        population::message_bytes(&message::Message::Snapshot(simulation.store.clone()))?;
     let watches = (fleet.domains * 2) as f64;
     Ok(Distribution {
-        in_force_s: world.slowest(end),
+        in_force_s: simulation.max_time_to_in_force_s(end),
         bytes_per_host_s: bytes / fleet.hosts as f64 / span,
         busiest_bytes_s: busiest / span,
-        broadcast_bytes_per_host_s: whole as f64 / CHANGE_PERIOD_S,
-        store_reads_s: world.reads as f64 / span + watches * WATCH_CALLS_S,
-        store_writes_s: world.writes as f64 / span,
+        broadcast_bytes_per_host_s: snapshot_bytes as f64 / CHANGE_PERIOD_S,
+        store_reads_s: simulation.reads as f64 / span + watches * CALLS_PER_WATCH_S,
+        store_writes_s: simulation.writes as f64 / span,
     })
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(fleet: &'a Fleet) -> Self {
         let lists = population::lists();
         let version = Delta::after(Version::NONE, Vec::new()).to;
-        let mut world = Self {
+        let mut simulation = Self {
             fleet,
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(7),
-            agenda: Agenda::new(),
+            events: EventQueue::new(),
             replicas: BTreeMap::new(),
             watchers: Vec::new(),
             store: Snapshot { version, lists },
@@ -146,16 +147,20 @@
             counting: false,
         };
         for (host, _) in population::hosts(fleet.hosts, fleet.domains) {
-            world.start(0, host);
-            let phase = world.rng.random_range(0..TICK);
-            world.agenda.add(phase, Event::Tick(host));
+            simulation.start_replica(0, host);
+            let phase = simulation.rng.random_range(0..TICK_US);
+            simulation.events.schedule(phase, Event::Tick(host));
         }
-        world.agenda.add(SETTLE_S * SECOND, Event::Change);
-        world.agenda.add(SETTLE_S * SECOND, Event::Restart);
-        world
+        simulation
+            .events
+            .schedule(WARM_UP_S * MICROS_PER_S, Event::Change);
+        simulation
+            .events
+            .schedule(WARM_UP_S * MICROS_PER_S, Event::Restart);
+        simulation
     }
 
-    fn start(&mut self, now: u64, host: entity::HostId) {
+    fn start_replica(&mut self, now: u64, host: entity::HostId) {
         let domain = self.domain(host);
         let hosts = population::hosts(self.fleet.hosts, self.fleet.domains);
         let view = View::new(host, domain, hosts);
@@ -163,41 +168,41 @@
         self.watchers.retain(|other| *other != host);
         self.replicas.insert(host, replica);
         // Nothing has been sent before the start, so that no encoding can fail here.
-        let _ = self.run(now, host, effects);
+        let _ = self.run_effects(now, host, effects);
     }
 
     fn domain(&self, host: entity::HostId) -> entity::DomainId {
         entity::DomainId::from_index(host.index() % self.fleet.domains)
     }
 
-    fn apply(&mut self, now: u64, event: Event) -> eyre::Result<()> {
+    fn handle_event(&mut self, now: u64, event: Event) -> eyre::Result<()> {
         let time = time::Time::from_micros(now);
         match event {
             Event::Tick(host) => {
-                self.agenda.add(now + TICK, Event::Tick(host));
-                self.with(now, host, |replica| replica.tick(time))
+                self.events.schedule(now + TICK_US, Event::Tick(host));
+                self.update_replica(now, host, |replica| replica.tick(time))
             }
-            Event::Message(from, to, message) => self.with(now, to, |replica| {
+            Event::Message(from, to, message) => self.update_replica(now, to, |replica| {
                 replica.handle_message(time, from, message)
             }),
-            Event::Recorded(host, delta) => self.with(now, host, |replica| {
+            Event::Recorded(host, delta) => self.update_replica(now, host, |replica| {
                 replica.handle_recorded_delta(time, delta)
             }),
-            Event::Answer(host, answer) => self.with(now, host, |replica| {
+            Event::Answer(host, answer) => self.update_replica(now, host, |replica| {
                 replica.handle_store_answer(time, answer)
             }),
-            Event::Change => self.change(now),
+            Event::Change => self.record_change(now),
             Event::Restart => {
                 let host = self.rng.random_range(0..self.fleet.hosts);
-                self.start(now, entity::HostId::from_index(host));
-                self.agenda
-                    .add(now + RESTART_PERIOD_S * SECOND, Event::Restart);
+                self.start_replica(now, entity::HostId::from_index(host));
+                self.events
+                    .schedule(now + RESTART_PERIOD_S * MICROS_PER_S, Event::Restart);
                 Ok(())
             }
         }
     }
 
-    fn with<F>(&mut self, now: u64, host: entity::HostId, act: F) -> eyre::Result<()>
+    fn update_replica<F>(&mut self, now: u64, host: entity::HostId, act: F) -> eyre::Result<()>
     where
         F: FnOnce(&mut Replica) -> replica::Effects,
     {
@@ -205,10 +210,10 @@
             return Ok(());
         };
         let effects = act(replica);
-        self.run(now, host, effects)
+        self.run_effects(now, host, effects)
     }
 
-    fn run(
+    fn run_effects(
         &mut self,
         now: u64,
         host: entity::HostId,
@@ -226,7 +231,8 @@
                         StoreAnswer::Lists(self.store.clone())
                     };
                     let delay = self.rng.random_range(4_000..20_000);
-                    self.agenda.add(now + delay, Event::Answer(host, answer));
+                    self.events
+                        .schedule(now + delay, Event::Answer(host, answer));
                 }
                 Effect::Watch => self.watchers.push(host),
                 Effect::Unwatch => self.watchers.retain(|other| *other != host),
@@ -237,7 +243,7 @@
                         .filter(|r| !self.in_force.contains_key(*r));
                     let reached: Vec<_> = open.copied().collect();
                     for recorded in reached.into_iter().filter(|r| *r <= version) {
-                        self.reach(now, recorded);
+                        self.record_in_force(now, recorded);
                     }
                 }
                 Effect::Repair { .. } => self.writes += 1,
@@ -247,7 +253,7 @@
     }
 
     /// Notes that a change is in force, if no host that serves is behind it.
-    fn reach(&mut self, now: u64, version: Version) {
+    fn record_in_force(&mut self, now: u64, version: Version) {
         let mut others = self.replicas.values();
         let behind = |replica: &Replica| replica.is_ready() && replica.version() < version;
         if !others.any(behind) {
@@ -263,12 +269,12 @@
         message: message::Message,
     ) -> eyre::Result<()> {
         if self.counting {
-            let bytes = population::message_bytes(&message)? + population::EXCHANGE_BYTES;
+            let bytes = population::message_bytes(&message)? + population::EXCHANGE_OVERHEAD_BYTES;
             *self.sent.entry(from).or_default() += bytes;
-            *self.sent.entry(to).or_default() += population::EXCHANGE_BYTES;
+            *self.sent.entry(to).or_default() += population::EXCHANGE_OVERHEAD_BYTES;
         }
         let remote = self.domain(from) != self.domain(to);
-        if remote && self.rng.random_bool(LOSS) {
+        if remote && self.rng.random_bool(LOSS_PROBABILITY) {
             return Ok(());
         }
         let delay = if remote {
@@ -276,14 +282,14 @@
         } else {
             self.rng.random_range(200..2_000)
         };
-        self.agenda
-            .add(now + delay, Event::Message(from, to, message));
+        self.events
+            .schedule(now + delay, Event::Message(from, to, message));
         Ok(())
     }
 
     /// Records a change in the store and tells the watchers and the host that made it.
-    fn change(&mut self, now: u64) -> eyre::Result<()> {
-        let plan = population::plan(700 + now / SECOND, 700, 64);
+    fn record_change(&mut self, now: u64) -> eyre::Result<()> {
+        let plan = population::plan(700 + now / MICROS_PER_S, 700, 64);
         let i = self.rng.random_range(0..43);
         let change = lists::Change::PutPlan(population::plan_name(i), plan);
         self.store.lists.apply(&change);
@@ -296,24 +302,24 @@
         let editor = entity::HostId::from_index(self.rng.random_range(0..self.fleet.hosts));
         for host in self.watchers.clone().into_iter().chain([editor]) {
             let delay = self.rng.random_range(4_000..200_000);
-            self.agenda
-                .add(now + delay, Event::Recorded(host, delta.clone()));
+            self.events
+                .schedule(now + delay, Event::Recorded(host, delta.clone()));
         }
-        let period = (CHANGE_PERIOD_S * SECOND as f64) as u64;
-        self.agenda.add(now + period, Event::Change);
+        let period = (CHANGE_PERIOD_S * MICROS_PER_S as f64) as u64;
+        self.events.schedule(now + period, Event::Change);
         Ok(())
     }
 
     /// Longest time until a change was in force, counted to the end if it never was. The last
     /// change is left out if the run ended too soon after it.
-    fn slowest(&self, end: u64) -> f64 {
+    fn max_time_to_in_force_s(&self, end: u64) -> f64 {
         let settled = self
             .recorded
             .iter()
-            .filter(|(_, at)| **at + 10 * SECOND < end);
+            .filter(|(_, at)| **at + 10 * MICROS_PER_S < end);
         let spans = settled.map(|(version, at)| {
             let reached = self.in_force.get(version).copied().unwrap_or(end);
-            (reached - at) as f64 / SECOND as f64
+            (reached - at) as f64 / MICROS_PER_S as f64
         });
         spans.fold(0.0, f64::max)
     }
--- a/crates/measure/src/lists/clock.rs
+++ b/crates/measure/src/lists/event_queue.rs
@@ -5,53 +5,53 @@
 
 /// Events that are due later. Events of the same time come in the order in which they were added.
 #[derive(Debug)]
-pub struct Agenda<E> {
-    due: BinaryHeap<Reverse<(u64, u64, Slot<E>)>>,
+pub struct EventQueue<E> {
+    heap: BinaryHeap<Reverse<(u64, u64, Unordered<E>)>>,
     added: u64,
 }
 
 /// An event that takes no part in the order.
 #[derive(Debug)]
-struct Slot<E>(E);
+struct Unordered<E>(E);
 
-impl<E> PartialEq for Slot<E> {
+impl<E> PartialEq for Unordered<E> {
     fn eq(&self, _: &Self) -> bool {
         true
     }
 }
 
-impl<E> Eq for Slot<E> {}
+impl<E> Eq for Unordered<E> {}
 
-impl<E> PartialOrd for Slot<E> {
+impl<E> PartialOrd for Unordered<E> {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> Ord for Slot<E> {
+impl<E> Ord for Unordered<E> {
     fn cmp(&self, _: &Self) -> std::cmp::Ordering {
         std::cmp::Ordering::Equal
     }
 }
 
-impl<E> Agenda<E> {
+impl<E> EventQueue<E> {
     /// Makes an agenda without events.
     pub fn new() -> Self {
         Self {
-            due: BinaryHeap::new(),
+            heap: BinaryHeap::new(),
             added: 0,
         }
     }
 
     /// Adds an event at a time in microseconds.
-    pub fn add(&mut self, at: u64, event: E) {
+    pub fn schedule(&mut self, at: u64, event: E) {
         self.added += 1;
-        self.due.push(Reverse((at, self.added, Slot(event))));
+        self.heap.push(Reverse((at, self.added, Unordered(event))));
     }
 
     /// Takes the next event and its time.
-    pub fn next(&mut self) -> Option<(u64, E)> {
-        let Reverse((at, _, Slot(event))) = self.due.pop()?;
+    pub fn pop(&mut self) -> Option<(u64, E)> {
+        let Reverse((at, _, Unordered(event))) = self.heap.pop()?;
         Some((at, event))
     }
 }
--- a/crates/measure/src/lists/fairness.rs
+++ b/crates/measure/src/lists/fairness.rs
@@ -17,25 +17,25 @@
 const SLOTS: usize = 8;
 
 /// Rate of the surge over that of another account.
-const SURGE: usize = 50;
+const SURGE_FACTOR: usize = 50;
 
 /// Chance of a request of each account in a millisecond, above what the endpoint serves.
-const OVERLOAD: f64 = 0.005;
+const OVERLOAD_PROBABILITY: f64 = 0.005;
 
 /// The same, at two thirds of what the endpoint serves.
-const LIGHT_LOAD: f64 = 0.003;
+const LIGHT_LOAD_PROBABILITY: f64 = 0.003;
 
 /// Requests of each account that wait at the start.
-const START_ENTRIES: usize = 16;
+const INITIAL_REQUESTS: usize = 16;
 
 /// Largest request, in tokens.
-const LARGEST: u64 = 8_192;
+const MAX_REQUEST_TOKENS: u64 = 8_192;
 
 /// Tokens that one slot serves in a millisecond.
 const TOKENS_PER_MS: u64 = 50;
 
 /// Length of a run, in milliseconds.
-const LENGTH_MS: u64 = 120_000;
+const DURATION_MS: u64 = 120_000;
 
 /// Milliseconds between two requests of the idle account.
 const IDLE_PERIOD_MS: u64 = 2_000;
@@ -54,104 +54,107 @@
     /// The same with FIFO.
     pub gap_fifo: f64,
     /// Mean wait of the idle account during the surge over that without it.
-    pub idle_wait: f64,
+    pub idle_wait_ratio: f64,
     /// The same with FIFO.
-    pub idle_wait_fifo: f64,
+    pub idle_wait_ratio_fifo: f64,
 }
 
 /// Measures all owners.
 pub fn run() -> Fairness {
-    let runs = |setup: Setup| (0..OWNERS).map(move |seed| run_owner(seed, setup));
-    let gap = |setup: Setup| runs(setup).map(|run| run.gap).fold(0.0, f64::max);
-    let wait = |setup: Setup| runs(setup).map(|run| run.idle_wait_ms).sum::<f64>();
-    let fair = Setup {
-        order: Order::Fair,
-        surge: SURGE,
-        exact: true,
-        joining: false,
-        start: START_ENTRIES,
-        rate: OVERLOAD,
+    let runs = |scenario: Scenario| (0..OWNERS).map(move |seed| run_owner(seed, scenario));
+    let gap = |scenario: Scenario| runs(scenario).map(|run| run.gap).fold(0.0, f64::max);
+    let wait = |scenario: Scenario| runs(scenario).map(|run| run.idle_wait_ms).sum::<f64>();
+    let fair = Scenario {
+        queue_kind: QueueKind::Fair,
+        surge: SURGE_FACTOR,
+        exact_estimates: true,
+        include_joining: false,
+        initial_requests: INITIAL_REQUESTS,
+        arrival_probability: OVERLOAD_PROBABILITY,
     };
-    let fifo = |setup| Setup {
-        order: Order::Fifo,
-        ..setup
+    let fifo = |scenario| Scenario {
+        queue_kind: QueueKind::Fifo,
+        ..scenario
     };
-    let light = Setup {
-        start: 0,
-        rate: LIGHT_LOAD,
+    let light = Scenario {
+        initial_requests: 0,
+        arrival_probability: LIGHT_LOAD_PROBABILITY,
         ..fair
     };
-    let calm = |setup| Setup { surge: 1, ..setup };
+    let without_surge = |scenario| Scenario {
+        surge: 1,
+        ..scenario
+    };
     Fairness {
         gap: gap(fair),
-        gap_corrected: gap(Setup {
-            exact: false,
+        gap_corrected: gap(Scenario {
+            exact_estimates: false,
             ..fair
         }),
-        gap_joining: gap(Setup {
-            joining: true,
+        gap_joining: gap(Scenario {
+            include_joining: true,
             ..fair
         }),
         gap_fifo: gap(fifo(fair)),
-        idle_wait: wait(light) / wait(calm(light)).max(1.0),
-        idle_wait_fifo: wait(fifo(light)) / wait(fifo(calm(light))).max(1.0),
+        idle_wait_ratio: wait(light) / wait(without_surge(light)).max(1.0),
+        idle_wait_ratio_fifo: wait(fifo(light)) / wait(fifo(without_surge(light))).max(1.0),
     }
 }
 
 /// What a run is about.
 #[derive(Clone, Copy, Debug)]
-struct Setup {
-    order: Order,
+struct Scenario {
+    queue_kind: QueueKind,
     /// Rate of the first account over that of another in the second half.
     surge: usize,
     /// Whether the estimates are exact.
-    exact: bool,
+    exact_estimates: bool,
     /// Whether pairs count whose accounts were not backlogged from the start.
-    joining: bool,
+    include_joining: bool,
     /// Requests of each account that wait at the start.
-    start: usize,
+    initial_requests: usize,
     /// Chance of a request of each account in a millisecond.
-    rate: f64,
+    arrival_probability: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Order {
+enum QueueKind {
     Fair,
     Fifo,
 }
 
 /// A queue of either kind.
 enum Queue {
-    Fair(queue::FairQueue<Work>),
-    Fifo(VecDeque<queue::Entry<Work>>),
+    Fair(queue::FairQueue<QueuedRequest>),
+    Fifo(VecDeque<queue::Entry<QueuedRequest>>),
 }
 
 /// A request in the queue.
 #[derive(Clone, Copy, Debug)]
-struct Work {
+struct QueuedRequest {
     account: usize,
     arrived_ms: u64,
     /// Tokens that it uses, which the estimate exceeds.
     used: u64,
 }
 
-struct Run {
+struct RunResult {
     gap: f64,
     idle_wait_ms: f64,
 }
 
 /// Service that accounts had since they became backlogged, over their weights.
 #[derive(Default)]
-struct Served {
+struct ServiceTracker {
     /// Service of each account since the start.
     total: BTreeMap<usize, f64>,
     /// Service of each pair of accounts at the time when both had become backlogged.
     since: BTreeMap<(usize, usize), (f64, f64)>,
 }
 
-impl Served {
+impl ServiceTracker {
     /// Starts and ends pairs, and returns the largest gap of those that go on.
-    fn gap(&mut self, backlogged: &[usize]) -> f64 {
+    fn update_gap(&mut self, backlogged: &[usize]) -> f64 {
         let total = |i: usize| self.total.get(&i).copied().unwrap_or_default();
         self.since
             .retain(|(a, b), _| backlogged.contains(a) && backlogged.contains(b));
@@ -171,33 +174,37 @@
     1 + (account % 4) as u32
 }
 
-fn run_owner(seed: u64, setup: Setup) -> Run {
+fn run_owner(seed: u64, scenario: Scenario) -> RunResult {
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
     let bounds = queue::Bounds {
         entries: 512,
         account_entries: 64,
     };
-    let mut queue = match setup.order {
-        Order::Fair => Queue::Fair(queue::FairQueue::new(bounds)),
-        Order::Fifo => Queue::Fifo(VecDeque::new()),
+    let mut queue = match scenario.queue_kind {
+        QueueKind::Fair => Queue::Fair(queue::FairQueue::new(bounds)),
+        QueueKind::Fifo => Queue::Fifo(VecDeque::new()),
     };
-    let names: Vec<_> = (0..ACCOUNTS).map(population::account).collect();
-    let mut running: Vec<(u64, queue::Entry<Work>)> = Vec::new();
-    let mut served = Served::default();
+    let names: Vec<_> = (0..ACCOUNTS).map(population::account_name).collect();
+    let mut running: Vec<(u64, queue::Entry<QueuedRequest>)> = Vec::new();
+    let mut served = ServiceTracker::default();
     let mut queued = [0_usize; ACCOUNTS];
     let (mut gap, mut idle_waits, mut idle_count) = (0.0_f64, 0.0, 0.0);
     // Every account but the idle one is backlogged from the start on.
-    let mut steady: Vec<_> = (0..ACCOUNTS - 1).collect();
-    for account in steady.iter().cycle().take(setup.start * (ACCOUNTS - 1)) {
-        let entry = entry(&mut rng, &names, 0, *account, setup.exact);
+    let mut initially_backlogged: Vec<_> = (0..ACCOUNTS - 1).collect();
+    for account in initially_backlogged
+        .iter()
+        .cycle()
+        .take(scenario.initial_requests * (ACCOUNTS - 1))
+    {
+        let entry = entry(&mut rng, &names, 0, *account, scenario.exact_estimates);
         push(&mut queue, bounds, time::Time::ZERO, entry, &mut queued);
     }
-    served.gap(&steady);
-    for ms in 0..LENGTH_MS {
+    served.update_gap(&initially_backlogged);
+    for ms in 0..DURATION_MS {
         let now = time::Time::from_millis(ms);
         for account in 0..ACCOUNTS {
-            for _ in 0..arrivals(&mut rng, ms, account, setup) {
-                let entry = entry(&mut rng, &names, ms, account, setup.exact);
+            for _ in 0..arrivals(&mut rng, ms, account, scenario) {
+                let entry = entry(&mut rng, &names, ms, account, scenario.exact_estimates);
                 push(&mut queue, bounds, now, entry, &mut queued);
             }
         }
@@ -207,8 +214,8 @@
             if let Queue::Fair(queue) = &mut queue {
                 queue.correct(&entry.account, entry.weight, entry.cost, used);
             }
-            let over = (entry.cost - used).0 as f64 / f64::from(entry.weight);
-            *served.total.entry(entry.item.account).or_default() -= over;
+            let overestimate = (entry.cost - used).0 as f64 / f64::from(entry.weight);
+            *served.total.entry(entry.item.account).or_default() -= overestimate;
         }
         while running.len() < SLOTS {
             let Some(entry) = pop(&mut queue, now) else {
@@ -223,30 +230,34 @@
                 idle_count += 1.0;
             }
             running.push((ms + work.used / TOKENS_PER_MS + 1, entry));
-            steady.retain(|i| queued[*i] > 0);
-            let joined: Vec<_> = (0..ACCOUNTS).filter(|i| queued[*i] > 0).collect();
-            let backlogged = if setup.joining { &joined } else { &steady };
-            gap = gap.max(served.gap(backlogged));
+            initially_backlogged.retain(|i| queued[*i] > 0);
+            let backlogged_now: Vec<_> = (0..ACCOUNTS).filter(|i| queued[*i] > 0).collect();
+            let backlogged = if scenario.include_joining {
+                &backlogged_now
+            } else {
+                &initially_backlogged
+            };
+            gap = gap.max(served.update_gap(backlogged));
         }
     }
-    Run {
-        gap: gap / LARGEST as f64,
+    RunResult {
+        gap: gap / MAX_REQUEST_TOKENS as f64,
         idle_wait_ms: idle_waits / f64::max(idle_count, 1.0),
     }
 }
 
 /// Requests of an account in one millisecond. The first surges in the second half, and the last
 /// sends one request every [`IDLE_PERIOD_MS`].
-fn arrivals<R>(rng: &mut R, ms: u64, account: usize, setup: Setup) -> usize
+fn arrivals<R>(rng: &mut R, ms: u64, account: usize, scenario: Scenario) -> usize
 where
     R: rand::Rng,
 {
     match account {
-        0 if ms > LENGTH_MS / 2 => (0..setup.surge)
-            .filter(|_| rng.random_bool(setup.rate))
+        0 if ms > DURATION_MS / 2 => (0..scenario.surge)
+            .filter(|_| rng.random_bool(scenario.arrival_probability))
             .count(),
         i if i == ACCOUNTS - 1 => usize::from(ms.is_multiple_of(IDLE_PERIOD_MS)),
-        _ => usize::from(rng.random_bool(setup.rate)),
+        _ => usize::from(rng.random_bool(scenario.arrival_probability)),
     }
 }
 
@@ -255,22 +266,22 @@
     names: &[name::AccountName],
     ms: u64,
     account: usize,
-    exact: bool,
-) -> queue::Entry<Work>
+    exact_estimates: bool,
+) -> queue::Entry<QueuedRequest>
 where
     R: rand::Rng,
 {
-    let cost = rng.random_range(LARGEST / 16..=LARGEST);
+    let cost = rng.random_range(MAX_REQUEST_TOKENS / 16..=MAX_REQUEST_TOKENS);
     queue::Entry {
         account: names[account].clone(),
         weight: weight(account),
         priority: 0,
         cost: units::Tokens(cost),
         deadline: time::Time::from_secs(1 << 30),
-        item: Work {
+        item: QueuedRequest {
             account,
             arrived_ms: ms,
-            used: if exact {
+            used: if exact_estimates {
                 cost
             } else {
                 cost - rng.random_range(0..cost / 8)
@@ -283,7 +294,7 @@
     queue: &mut Queue,
     bounds: queue::Bounds,
     now: time::Time,
-    entry: queue::Entry<Work>,
+    entry: queue::Entry<QueuedRequest>,
     queued: &mut [usize; ACCOUNTS],
 ) {
     let account = entry.item.account;
@@ -305,7 +316,7 @@
     }
 }
 
-fn pop(queue: &mut Queue, now: time::Time) -> Option<queue::Entry<Work>> {
+fn pop(queue: &mut Queue, now: time::Time) -> Option<queue::Entry<QueuedRequest>> {
     match queue {
         Queue::Fair(queue) => queue.pop(now).next,
         Queue::Fifo(queue) => queue.pop_front(),
--- a/crates/measure/src/lists/limits/faults.rs
+++ b/crates/measure/src/lists/limits/faults.rs
@@ -5,37 +5,38 @@
 use rand::Rng as _;
 
 use super::{
-    CRASHED, CUT_DOMAIN, CUT_S, DOMAINS, Event, HOSTS, LOSS, PAUSE_S, PAUSED, RESTART_PERIOD_S,
-    SECOND, World,
+    CRASHED_HOST, DOMAINS, Event, HOSTS, LOSS_PROBABILITY, MICROS_PER_S, PARTITION_S,
+    PARTITIONED_DOMAIN, PAUSE_S, PAUSED_HOST, RESTART_PERIOD_S, Simulation,
 };
 use crate::lists::population;
 
-impl World {
-    pub(super) fn paused(now: u64, host: usize) -> bool {
-        host == PAUSED && (PAUSE_S.0 * SECOND..PAUSE_S.1 * SECOND).contains(&now)
+impl Simulation {
+    pub(super) fn is_paused(now: u64, host: usize) -> bool {
+        host == PAUSED_HOST && (PAUSE_S.0 * MICROS_PER_S..PAUSE_S.1 * MICROS_PER_S).contains(&now)
     }
 
-    pub(super) fn is_cut(now: u64, host: usize) -> bool {
-        let cut = (CUT_S.0 * SECOND..CUT_S.1 * SECOND).contains(&now);
-        cut && host % DOMAINS == CUT_DOMAIN
+    pub(super) fn is_partitioned(now: u64, host: usize) -> bool {
+        let partitioned =
+            (PARTITION_S.0 * MICROS_PER_S..PARTITION_S.1 * MICROS_PER_S).contains(&now);
+        partitioned && host % DOMAINS == PARTITIONED_DOMAIN
     }
 
     /// Gives every host its view of the live hosts. A cut-off domain and the others do not see
     /// each other.
-    pub(super) fn set_view(&mut self, now: u64) {
-        let seen_by = |cut: bool| -> Vec<_> {
+    pub(super) fn update_views(&mut self, now: u64) {
+        let seen_by = |partitioned: bool| -> Vec<_> {
             let all = population::hosts(HOSTS, DOMAINS).into_iter();
             let live = all.filter(|(host, _)| {
                 let i = host.index();
-                let missing = !self.hosts[i].alive || Self::paused(now, i);
-                !missing && Self::is_cut(now, i) == cut
+                let missing = !self.hosts[i].alive || Self::is_paused(now, i);
+                !missing && Self::is_partitioned(now, i) == partitioned
             });
             live.collect()
         };
         let views = [seen_by(false), seen_by(true)];
         for i in 0..HOSTS {
-            let side = usize::from(Self::is_cut(now, i));
-            if self.hosts[i].alive && !Self::paused(now, i) {
+            let side = usize::from(Self::is_partitioned(now, i));
+            if self.hosts[i].alive && !Self::is_paused(now, i) {
                 let time = self.clock(i, now);
                 self.hosts[i].side = side;
                 self.hosts[i].claims.set_hosts(time, views[side].clone());
@@ -50,26 +51,26 @@
 
     /// Stops a host gracefully: it gives its slices up, and comes back as another process.
     pub(super) fn restart(&mut self, now: u64) {
-        self.agenda
-            .add(now + RESTART_PERIOD_S * SECOND, Event::Restart);
+        self.events
+            .schedule(now + RESTART_PERIOD_S * MICROS_PER_S, Event::Restart);
         let host = self.rng.random_range(0..HOSTS);
-        if [CRASHED, PAUSED].contains(&host) || Self::is_cut(now, host) {
+        if [CRASHED_HOST, PAUSED_HOST].contains(&host) || Self::is_partitioned(now, host) {
             return;
         }
         let effects = self.hosts[host].claims.drain();
-        self.claim(now, host, effects);
-        self.agenda.add(now + SECOND, Event::Stop(host));
+        self.run_claim_effects(now, host, effects);
+        self.events.schedule(now + MICROS_PER_S, Event::Stop(host));
     }
 
     /// Delay of a message, or `None` if it is lost.
-    pub(super) fn delay(&mut self, now: u64, from: usize, to: usize) -> Option<u64> {
-        if Self::is_cut(now, from) != Self::is_cut(now, to) {
+    pub(super) fn message_delay(&mut self, now: u64, from: usize, to: usize) -> Option<u64> {
+        if Self::is_partitioned(now, from) != Self::is_partitioned(now, to) {
             return None;
         }
         if from % DOMAINS == to % DOMAINS {
             return Some(self.rng.random_range(200..1_500));
         }
-        let lost = self.rng.random_bool(LOSS);
+        let lost = self.rng.random_bool(LOSS_PROBABILITY);
         (!lost).then(|| self.rng.random_range(4_000..9_000))
     }
 
--- a/crates/measure/src/lists/limits/mod.rs
+++ b/crates/measure/src/lists/limits/mod.rs
@@ -14,10 +14,10 @@
 use rand::{Rng as _, SeedableRng as _};
 use rand_distr::Distribution as _;
 
-use super::clock::Agenda;
+use super::event_queue::EventQueue;
 use super::population;
 
-const SECOND: u64 = 1_000_000;
+const MICROS_PER_S: u64 = 1_000_000;
 
 const HOSTS: usize = 420;
 const DOMAINS: usize = 8;
@@ -25,31 +25,31 @@
 
 /// Requests a second that the limits of all accounts allow together: a sixth of the design size,
 /// so that the run is short.
-const LIMIT_S: f64 = 700.0;
+const TOTAL_REQUESTS_PER_S: f64 = 700.0;
 
 /// Demand over the limit, for each account.
-const DEMAND: f64 = 1.4;
+const DEMAND_RATIO: f64 = 1.4;
 
 /// Mean tokens that a request uses.
 const MEAN_TOKENS: f64 = 700.0;
 
 /// Skew of the accounts: the limit of the account with rank `r` falls with `r` to this power.
-const SKEW: f64 = 0.7;
+const ZIPF_EXPONENT: f64 = 0.7;
 
 /// Length of a run, in seconds.
-const LENGTH_S: u64 = 300;
+const DURATION_S: u64 = 300;
 
 /// Time until the bursts at hand at the start are used up, in seconds.
-const SETTLE_S: u64 = 40;
+const WARM_UP_S: u64 = 40;
 
 /// Period of the hosts' ticks, in microseconds.
-const TICK: u64 = 500_000;
+const TICK_US: u64 = 500_000;
 
 /// Time until every host's view shows a change of the live hosts, in microseconds.
-const VIEW_DELAY: u64 = 3 * SECOND;
+const VIEW_DELAY_US: u64 = 3 * MICROS_PER_S;
 
 /// Part of the messages between domains that are lost.
-const LOSS: f64 = 0.005;
+const LOSS_PROBABILITY: f64 = 0.005;
 
 /// Seconds between two graceful restarts, twenty times the expected churn.
 const RESTART_PERIOD_S: u64 = 10;
@@ -61,28 +61,28 @@
 const PAUSE_S: (u64, u64) = (100, 125);
 
 /// When a domain is cut off from the store and from the other domains, and until when.
-const CUT_S: (u64, u64) = (150, 240);
+const PARTITION_S: (u64, u64) = (150, 240);
 
 /// The domain that is cut off.
-const CUT_DOMAIN: usize = 2;
+const PARTITIONED_DOMAIN: usize = 2;
 
 /// Hosts to which these things happen.
-const CRASHED: usize = 17;
-const PAUSED: usize = 34;
+const CRASHED_HOST: usize = 17;
+const PAUSED_HOST: usize = 34;
 
 /// What a run gave.
 #[derive(Debug)]
-pub struct Limits {
+pub struct LimitUsage {
     /// Largest charge of an account over any window beyond rate and burst: requests and tokens.
-    pub over: [f64; 2],
+    pub over_admission: [f64; 2],
     /// Part of the limits that was used, summed over the accounts.
-    pub used: f64,
+    pub use_ratio: f64,
     /// The same, averaged over the accounts however small they are.
-    pub used_mean: f64,
+    pub mean_use_ratio: f64,
     /// The same for the account with the least.
-    pub used_worst: f64,
+    pub min_use_ratio: f64,
     /// Part of the limits that a static split over the hosts would have used.
-    pub used_static: f64,
+    pub static_split_ratio: f64,
     /// Bytes that a host sends a second for credit, averaged over the hosts.
     pub bytes_per_host_s: f64,
     /// Reads of the table a second.
@@ -93,18 +93,18 @@
 
 enum Event {
     Tick(usize),
-    Arrive(usize),
+    Arrival(usize),
     /// An ask arrives: asking host, host asked, and slice.
-    Ask(usize, usize, SliceId, CreditRequest),
+    CreditRequest(usize, usize, SliceId, CreditRequest),
     Grant(usize, u64, Grant),
-    End(usize, u64, Permit, units::Tokens),
+    RequestEnd(usize, u64, Permit, units::Tokens),
     /// A read arrives at the store: host, process, time of sending and shard.
     Read(usize, u64, u64, u8),
-    Value(usize, u64, u64, u8, CasVersion, Box<Shard>),
+    ReadAnswer(usize, u64, u64, u8, CasVersion, Box<Shard>),
     Write(usize, u64, u8, CasVersion, Box<Shard>),
     Restart,
     Stop(usize),
-    View,
+    ViewChange,
 }
 
 struct Host {
@@ -119,24 +119,24 @@
 }
 
 /// Charges of one account: true time, requests and tokens.
-type Charges = Vec<(u64, i64, i64)>;
+type AccountCharges = Vec<(u64, i64, i64)>;
 
-struct World {
+struct Simulation {
     rng: rand_chacha::ChaCha8Rng,
-    agenda: Agenda<Event>,
+    events: EventQueue<Event>,
     hosts: Vec<Host>,
     plans: Vec<lists::Plan>,
     names: Vec<name::AccountName>,
     index: BTreeMap<name::AccountName, usize>,
     /// Mean time between two requests of each account, in microseconds.
-    gaps: Vec<f64>,
+    mean_gaps_us: Vec<f64>,
     table: Vec<(CasVersion, Shard)>,
-    charges: Vec<Charges>,
+    charges: Vec<AccountCharges>,
     /// Requests and tokens that each account used after the start has settled.
     used: Vec<(u64, u64)>,
     /// Host that should hold each slice, by the view on each side of the cut.
     candidates: [BTreeMap<SliceId, entity::HostId>; 2],
-    boots: u64,
+    last_boot: u64,
     requests: u128,
     bytes: u64,
     reads: u64,
@@ -146,43 +146,47 @@
 }
 
 /// Runs the fleet.
-pub fn run() -> Limits {
-    let mut world = World::new();
-    let end = LENGTH_S * SECOND;
-    while let Some((now, event)) = world.agenda.next() {
+pub fn run() -> LimitUsage {
+    let mut simulation = Simulation::new();
+    let end = DURATION_S * MICROS_PER_S;
+    while let Some((now, event)) = simulation.events.pop() {
         if now >= end {
             break;
         }
-        world.apply(now, event);
+        simulation.handle_event(now, event);
     }
-    world.result()
+    simulation.result()
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(11);
-        let weights: Vec<_> = (1..=ACCOUNTS).map(|r| (r as f64).powf(-SKEW)).collect();
+        let weights: Vec<_> = (1..=ACCOUNTS)
+            .map(|r| (r as f64).powf(-ZIPF_EXPONENT))
+            .collect();
         let sum: f64 = weights.iter().sum();
-        let limit_s = |i: usize| (LIMIT_S * weights[i] / sum).max(0.1);
+        let limit_s = |i: usize| (TOTAL_REQUESTS_PER_S * weights[i] / sum).max(0.1);
         let plan = |i: usize| {
             let requests = (limit_s(i) * 60.0).round() as u64;
             // Requests are scarce for even accounts and tokens for odd ones.
             let tokens = if i.is_multiple_of(2) { 2_000 } else { 350 };
             population::plan(requests * (1 + i as u64 % 2), tokens, 4 * requests.max(16))
         };
-        let names: Vec<_> = (0..ACCOUNTS).map(population::account).collect();
-        let mut world = Self {
-            agenda: Agenda::new(),
+        let names: Vec<_> = (0..ACCOUNTS).map(population::account_name).collect();
+        let mut simulation = Self {
+            events: EventQueue::new(),
             hosts: Vec::new(),
             plans: (0..ACCOUNTS).map(plan).collect(),
             index: names.iter().cloned().zip(0..).collect(),
             names,
-            gaps: (0..ACCOUNTS).map(|i| 1e6 / (limit_s(i) * DEMAND)).collect(),
+            mean_gaps_us: (0..ACCOUNTS)
+                .map(|i| 1e6 / (limit_s(i) * DEMAND_RATIO))
+                .collect(),
             table: vec![(CasVersion(0), Shard::default()); usize::from(SHARDS)],
             charges: vec![Vec::new(); ACCOUNTS],
             used: vec![(0, 0); ACCOUNTS],
             candidates: [BTreeMap::new(), BTreeMap::new()],
-            boots: 0,
+            last_boot: 0,
             requests: 0,
             bytes: 0,
             reads: 0,
@@ -193,28 +197,43 @@
         for i in 0..HOSTS {
             let skew_ppm =
                 rng.random_range(-(MAX_CLOCK_SKEW_PPM as i64)..=MAX_CLOCK_SKEW_PPM as i64);
-            let host = world.host(i, skew_ppm);
-            world.hosts.push(host);
-            world.agenda.add(rng.random_range(0..TICK), Event::Tick(i));
+            let host = simulation.host(i, skew_ppm);
+            simulation.hosts.push(host);
+            simulation
+                .events
+                .schedule(rng.random_range(0..TICK_US), Event::Tick(i));
         }
-        world.set_view(0);
+        simulation.update_views(0);
         for i in 0..ACCOUNTS {
-            world
-                .agenda
-                .add(SECOND + rng.random_range(0..SECOND), Event::Arrive(i));
+            simulation.events.schedule(
+                MICROS_PER_S + rng.random_range(0..MICROS_PER_S),
+                Event::Arrival(i),
+            );
         }
-        world.agenda.add(SETTLE_S * SECOND, Event::Restart);
-        world.agenda.add(CRASH_S * SECOND, Event::Stop(CRASHED));
-        let seconds = [CRASH_S, CUT_S.0, CUT_S.1, PAUSE_S.0 + 2, PAUSE_S.1];
+        simulation
+            .events
+            .schedule(WARM_UP_S * MICROS_PER_S, Event::Restart);
+        simulation
+            .events
+            .schedule(CRASH_S * MICROS_PER_S, Event::Stop(CRASHED_HOST));
+        let seconds = [
+            CRASH_S,
+            PARTITION_S.0,
+            PARTITION_S.1,
+            PAUSE_S.0 + 2,
+            PAUSE_S.1,
+        ];
         for s in seconds {
-            world.agenda.add(s * SECOND + VIEW_DELAY, Event::View);
+            simulation
+                .events
+                .schedule(s * MICROS_PER_S + VIEW_DELAY_US, Event::ViewChange);
         }
-        world
+        simulation
     }
 
     fn host(&mut self, index: usize, skew_ppm: i64) -> Host {
-        self.boots += 1;
-        let boot = self.boots;
+        self.last_boot += 1;
+        let boot = self.last_boot;
         let domains = (0..DOMAINS).map(entity::DomainId::from_index).collect();
         let mut local = [false; SLICES as usize];
         for (slice, local) in local.iter_mut().enumerate() {
@@ -238,20 +257,22 @@
         time::Time::from_micros(base.saturating_add_signed(skew))
     }
 
-    fn apply(&mut self, now: u64, event: Event) {
+    fn handle_event(&mut self, now: u64, event: Event) {
         match event {
             Event::Tick(host) => self.tick(now, host),
-            Event::Arrive(account) => self.arrive(now, account),
-            Event::Ask(from, to, id, ask) => self.ask(now, (from, to), id, &ask),
+            Event::Arrival(account) => self.handle_arrival(now, account),
+            Event::CreditRequest(from, to, id, request) => {
+                self.handle_credit_request(now, (from, to), id, &request)
+            }
             Event::Grant(to, boot, grant) => {
-                if self.acts(now, to, boot) {
+                if self.is_running(now, to, boot) {
                     let time = self.clock(to, now);
                     let effects = self.hosts[to].borrower.handle_grant(time, &grant);
-                    self.run(now, to, effects);
+                    self.run_borrower_effects(now, to, effects);
                 }
             }
-            Event::End(host, boot, permit, used) => {
-                if self.acts(now, host, boot) {
+            Event::RequestEnd(host, boot, permit, used) => {
+                if self.is_running(now, host, boot) {
                     let time = self.clock(host, now);
                     self.hosts[host]
                         .borrower
@@ -260,74 +281,75 @@
             }
             Event::Read(host, boot, sent, shard) => {
                 self.reads += 1;
-                let (guard, value) = self.table[usize::from(shard)];
+                let (cas_version, value) = self.table[usize::from(shard)];
                 let back = self.store_delay();
                 let value = Box::new(value);
-                let answer = Event::Value(host, boot, sent, shard, guard, value);
-                self.agenda.add(now + back, answer);
+                let answer = Event::ReadAnswer(host, boot, sent, shard, cas_version, value);
+                self.events.schedule(now + back, answer);
             }
-            Event::Value(host, boot, sent, shard, guard, value) => {
-                if self.acts(now, host, boot) && !Self::is_cut(now, host) {
+            Event::ReadAnswer(host, boot, sent, shard, cas_version, value) => {
+                if self.is_running(now, host, boot) && !Self::is_partitioned(now, host) {
                     let (sent, time) = (self.clock(host, sent), self.clock(host, now));
                     let claims = &mut self.hosts[host].claims;
-                    let effects = claims.handle_read(sent, time, shard, guard, &value);
-                    self.claim(now, host, effects);
+                    let effects = claims.handle_read(sent, time, shard, cas_version, &value);
+                    self.run_claim_effects(now, host, effects);
                 }
             }
-            Event::Write(host, boot, shard, guard, value) => {
+            Event::Write(host, boot, shard, cas_version, value) => {
                 self.writes += 1;
                 let entry = &mut self.table[usize::from(shard)];
-                if entry.0 == guard {
-                    *entry = (CasVersion(guard.0 + 1), *value);
+                if entry.0 == cas_version {
+                    *entry = (CasVersion(cas_version.0 + 1), *value);
                 }
-                self.agenda.add(now, Event::Read(host, boot, now, shard));
+                self.events
+                    .schedule(now, Event::Read(host, boot, now, shard));
             }
             Event::Restart => self.restart(now),
             Event::Stop(host) => {
                 self.hosts[host].alive = false;
-                self.agenda.add(now + VIEW_DELAY, Event::View);
-                if host != CRASHED {
+                self.events.schedule(now + VIEW_DELAY_US, Event::ViewChange);
+                if host != CRASHED_HOST {
                     let skew = self.hosts[host].skew_ppm;
                     self.hosts[host] = self.host(host, skew);
                 }
             }
-            Event::View => self.set_view(now),
+            Event::ViewChange => self.update_views(now),
         }
     }
 
     /// Whether a process still runs and is not paused.
-    fn acts(&self, now: u64, host: usize, boot: u64) -> bool {
+    fn is_running(&self, now: u64, host: usize, boot: u64) -> bool {
         let host_state = &self.hosts[host];
-        host_state.alive && host_state.boot == boot && !Self::paused(now, host)
+        host_state.alive && host_state.boot == boot && !Self::is_paused(now, host)
     }
 
     fn tick(&mut self, now: u64, host: usize) {
-        self.agenda.add(now + TICK, Event::Tick(host));
-        if !self.acts(now, host, self.hosts[host].boot) {
+        self.events.schedule(now + TICK_US, Event::Tick(host));
+        if !self.is_running(now, host, self.hosts[host].boot) {
             return;
         }
         let time = self.clock(host, now);
         let effects = self.hosts[host].borrower.tick(time);
-        self.run(now, host, effects);
+        self.run_borrower_effects(now, host, effects);
         self.hosts[host].lender.tick(time);
         let effects = self.hosts[host].claims.tick(time);
-        self.claim(now, host, effects);
+        self.run_claim_effects(now, host, effects);
     }
 
-    fn arrive(&mut self, now: u64, account: usize) {
-        let gap = rand_distr::Exp::new(1.0 / self.gaps[account]).expect("a positive rate");
+    fn handle_arrival(&mut self, now: u64, account: usize) {
+        let gap = rand_distr::Exp::new(1.0 / self.mean_gaps_us[account]).expect("a positive rate");
         let next = now + gap.sample(&mut self.rng) as u64 + 1;
-        self.agenda.add(next, Event::Arrive(account));
+        self.events.schedule(next, Event::Arrival(account));
         // Half of the requests of an account come in at a few hosts of its own.
         let host = if self.rng.random_bool(0.5) {
             (account * 31 + self.rng.random_range(0..8) * 53) % HOSTS
         } else {
             self.rng.random_range(0..HOSTS)
         };
-        if now >= SETTLE_S * SECOND {
+        if now >= WARM_UP_S * MICROS_PER_S {
             *self.arrivals.entry((account, host)).or_default() += 1;
         }
-        if !self.acts(now, host, self.hosts[host].boot) {
+        if !self.is_running(now, host, self.hosts[host].boot) {
             return;
         }
         self.requests += 1;
@@ -336,22 +358,22 @@
         let time = self.clock(host, now);
         let (name, plan) = (&self.names[account], &self.plans[account]);
         let effects = self.hosts[host].borrower.admit(time, id, name, plan, cost);
-        self.run(now, host, effects);
+        self.run_borrower_effects(now, host, effects);
     }
 
-    fn run(&mut self, now: u64, host: usize, effects: borrower::Effects) {
+    fn run_borrower_effects(&mut self, now: u64, host: usize, effects: borrower::Effects) {
         for effect in effects {
             match effect {
-                borrower::Effect::Request(id, ask) => {
-                    self.bytes += 2 * population::EXCHANGE_BYTES;
-                    self.bytes += population::message_bytes(&ask).unwrap_or_default();
+                borrower::Effect::Request(id, request) => {
+                    self.bytes += 2 * population::EXCHANGE_OVERHEAD_BYTES;
+                    self.bytes += population::message_bytes(&request).unwrap_or_default();
                     let candidates = &self.candidates[self.hosts[host].side];
                     let Some(holder) = candidates.get(&id).map(|host| host.index()) else {
                         continue;
                     };
-                    if let Some(delay) = self.delay(now, host, holder) {
-                        let event = Event::Ask(host, holder, id, ask);
-                        self.agenda.add(now + delay, event);
+                    if let Some(delay) = self.message_delay(now, host, holder) {
+                        let event = Event::CreditRequest(host, holder, id, request);
+                        self.events.schedule(now + delay, event);
                     }
                 }
                 borrower::Effect::Admitted(_, permit) => {
@@ -359,59 +381,66 @@
                     self.charges[account].push((now, 1, permit.cost.0 as i64));
                     let used = units::Tokens(self.rng.random_range(400..=permit.cost.0.max(400)));
                     let used = used.min(permit.cost);
-                    if now >= SETTLE_S * SECOND {
+                    if now >= WARM_UP_S * MICROS_PER_S {
                         self.used[account].0 += 1;
                         self.used[account].1 += used.0;
                     }
                     let length = self.rng.random_range(200_000..8_000_000);
                     let boot = self.hosts[host].boot;
-                    let end = Event::End(host, boot, permit, used);
-                    self.agenda.add(now + length, end);
+                    let end = Event::RequestEnd(host, boot, permit, used);
+                    self.events.schedule(now + length, end);
                 }
                 borrower::Effect::Refused { .. } => {}
             }
         }
     }
 
-    fn ask(&mut self, now: u64, (from, holder): (usize, usize), id: SliceId, ask: &CreditRequest) {
-        if !self.acts(now, holder, self.hosts[holder].boot) {
+    fn handle_credit_request(
+        &mut self,
+        now: u64,
+        (from, holder): (usize, usize),
+        id: SliceId,
+        request: &CreditRequest,
+    ) {
+        if !self.is_running(now, holder, self.hosts[holder].boot) {
             return;
         }
         let time = self.clock(holder, now);
-        let plan = &self.plans[self.index[&ask.account]];
+        let plan = &self.plans[self.index[&request.account]];
         let host = &mut self.hosts[holder];
         let authority = host.claims.authority(id);
         let from_id = entity::HostId::from_index(from);
         let grant = host
             .lender
-            .handle_request(time, from_id, ask, plan, &authority);
+            .handle_request(time, from_id, request, plan, &authority);
         let Some(grant) = grant else { return };
         if grant.shortage != Some(Shortage::NotHolder) {
             // The estimate stays charged until the holder of the slice has taken the correction.
-            let corrected = ask.overrun.0 as i64 - ask.refund.0 as i64;
-            self.charges[self.index[&ask.account]].push((now, 0, corrected));
+            let corrected = request.overrun.0 as i64 - request.refund.0 as i64;
+            self.charges[self.index[&request.account]].push((now, 0, corrected));
         }
         self.bytes += population::message_bytes(&grant).unwrap_or_default();
-        if let Some(delay) = self.delay(now, holder, from) {
-            self.agenda
-                .add(now + delay, Event::Grant(from, ask.boot, grant));
+        if let Some(delay) = self.message_delay(now, holder, from) {
+            self.events
+                .schedule(now + delay, Event::Grant(from, request.boot, grant));
         }
     }
 
-    fn claim(&mut self, now: u64, host: usize, effects: Vec<claims::Effect>) {
+    fn run_claim_effects(&mut self, now: u64, host: usize, effects: Vec<claims::Effect>) {
         let boot = self.hosts[host].boot;
         for effect in effects {
-            if Self::is_cut(now, host) {
+            if Self::is_partitioned(now, host) {
                 continue;
             }
             let at = now + self.store_delay();
             match effect {
                 claims::Effect::Read(shard) => {
-                    self.agenda.add(at, Event::Read(host, boot, now, shard));
+                    self.events
+                        .schedule(at, Event::Read(host, boot, now, shard));
                 }
-                claims::Effect::Write(shard, guard, value) => {
-                    self.agenda
-                        .add(at, Event::Write(host, boot, shard, guard, value));
+                claims::Effect::Write(shard, cas_version, value) => {
+                    self.events
+                        .schedule(at, Event::Write(host, boot, shard, cas_version, value));
                 }
             }
         }
--- a/crates/measure/src/lists/population.rs
+++ b/crates/measure/src/lists/population.rs
@@ -5,7 +5,7 @@
 
 /// Bytes that each end of an exchange sends besides the messages: three TCP/IP packets of 52
 /// bytes, four h2 frame headers, a window update and an indexed header block.
-pub const EXCHANGE_BYTES: u64 = 3 * 52 + 4 * 9 + 4 + 8;
+pub const EXCHANGE_OVERHEAD_BYTES: u64 = 3 * 52 + 4 * 9 + 4 + 8;
 
 /// Bytes of a message in its frame.
 ///
@@ -31,7 +31,7 @@
 }
 
 /// Name of an account.
-pub fn account(i: usize) -> name::AccountName {
+pub fn account_name(i: usize) -> name::AccountName {
     format!("account-{i}").parse().expect("a valid name")
 }
 
@@ -68,7 +68,7 @@
             plan: plan_name(i % 43),
             key_digests: vec![digest(0), digest(1)],
         };
-        lists.accounts.insert(account(i), entry);
+        lists.accounts.insert(account_name(i), entry);
     }
     lists
 }
