--- a/crates/measure/src/membership/mesh.rs
+++ b/crates/measure/src/membership/simulation.rs
@@ -17,40 +17,40 @@
 const TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Headers of one TCP/IPv4 packet with timestamps, in bytes.
-const PACKET_BYTES: u64 = 52;
+const PACKET_HEADER_BYTES: u64 = 52;
 
 /// Packets that one end sends for one exchange: its data, an acknowledgement and a window update.
-const PACKETS: u64 = 3;
+const PACKETS_PER_EXCHANGE: u64 = 3;
 
 /// Header of an h2 frame, in bytes.
-const FRAME_BYTES: u64 = 9;
+const FRAME_HEADER_BYTES: u64 = 9;
 
 /// h2 frames that one end sends for one exchange beside its data: headers, the end of the stream
 /// and a window update with its payload of 4 bytes.
-const OTHER_FRAMES_BYTES: u64 = 3 * FRAME_BYTES + 4;
+const CONTROL_FRAMES_BYTES: u64 = 3 * FRAME_HEADER_BYTES + 4;
 
 /// Header block of a request or response whose fields are in the dynamic table, in bytes.
 const HEADER_BLOCK_BYTES: u64 = 8;
 
 /// Bytes that one end of an exchange sends for a message.
-fn sent_bytes(message: &control::Message) -> eyre::Result<u64> {
+fn wire_bytes(message: &control::Message) -> eyre::Result<u64> {
     let body = codec::encode(message)?.len() as u64;
-    let frames = FRAME_BYTES + body + OTHER_FRAMES_BYTES + HEADER_BLOCK_BYTES;
-    Ok(frames + PACKETS * PACKET_BYTES)
+    let frames = FRAME_HEADER_BYTES + body + CONTROL_FRAMES_BYTES + HEADER_BLOCK_BYTES;
+    Ok(frames + PACKETS_PER_EXCHANGE * PACKET_HEADER_BYTES)
 }
 
 /// Bytes that each end sends for a probe that tells nothing.
 pub fn empty_exchange_bytes() -> eyre::Result<u64> {
     let from = entity::HostId::from_index(0);
     let updates = smallvec::SmallVec::new();
-    sent_bytes(&control::Message::Probe(membership::Probe {
+    wire_bytes(&control::Message::Probe(membership::Probe {
         from,
         receiver: None,
         updates,
     }))
 }
 
-struct Flight {
+struct InFlight {
     from: usize,
     to: usize,
     probe: membership::Probe,
@@ -58,20 +58,20 @@
 }
 
 /// Views of the hosts of a fleet.
-pub struct Mesh {
+pub struct Simulation {
     now: time::Time,
     views: Vec<membership::Membership>,
     rng: rand_chacha::ChaCha8Rng,
     loss: f64,
     /// Messages by the time of their arrival.
-    flights: BTreeMap<time::Time, Vec<Flight>>,
+    in_flight: BTreeMap<time::Time, Vec<InFlight>>,
     /// Exchanges that will fail, by time: the sender and the host it probed.
-    failures: BTreeMap<time::Time, Vec<(usize, usize)>>,
+    timeouts: BTreeMap<time::Time, Vec<(usize, usize)>>,
     sent: Vec<u64>,
     received: Vec<u64>,
 }
 
-impl Mesh {
+impl Simulation {
     pub fn new(fleet: Fleet, cfg: membership::Config, seed: u64, loss: f64) -> Self {
         let now = time::Time::from_secs(1);
         let list = host_list(fleet);
@@ -88,8 +88,8 @@
             views,
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
             loss,
-            flights: BTreeMap::new(),
-            failures: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            timeouts: BTreeMap::new(),
         }
     }
 
@@ -97,25 +97,25 @@
         let until = self.now + span;
         while self.now < until {
             self.now += STEP;
-            self.arrive()?;
-            self.fail()?;
+            self.deliver_due()?;
+            self.expire_due()?;
             for i in 0..self.views.len() {
                 let effects = self.views[i].tick(self.now);
-                self.follow(i, effects)?;
+                self.run_effects(i, effects)?;
             }
         }
         Ok(())
     }
 
-    pub fn leave(&mut self, host: usize) {
+    pub fn start_host_leave(&mut self, host: usize) {
         self.views[host].leave();
     }
 
-    pub fn endpoint_leaves(&mut self, host: usize, endpoint: entity::EndpointId) {
+    pub fn start_endpoint_leave(&mut self, host: usize, endpoint: entity::EndpointId) {
         self.views[host].set_endpoint_leaving(self.now, endpoint, true);
     }
 
-    pub fn all_know_leaving(&self, endpoint: entity::EndpointId) -> bool {
+    pub fn all_hosts_see_leaving(&self, endpoint: entity::EndpointId) -> bool {
         self.views.iter().all(|view| view.is_leaving(endpoint))
     }
 
@@ -134,39 +134,39 @@
             .unwrap_or_default()
     }
 
-    fn arrive(&mut self) -> eyre::Result<()> {
+    fn deliver_due(&mut self) -> eyre::Result<()> {
         let later = self
-            .flights
+            .in_flight
             .split_off(&(self.now + Duration::from_micros(1)));
-        let due = std::mem::replace(&mut self.flights, later);
-        for flight in due.into_values().flatten() {
-            let (i, probe) = (flight.to, flight.probe);
-            if flight.is_answer {
+        let due = std::mem::replace(&mut self.in_flight, later);
+        for message in due.into_values().flatten() {
+            let (i, probe) = (message.to, message.probe);
+            if message.is_answer {
                 let effects = self.views[i].handle_answer(self.now, &probe);
-                self.follow(i, effects)?;
+                self.run_effects(i, effects)?;
                 continue;
             }
             let (answer, effects) = self.views[i].handle_probe(self.now, &probe);
-            self.follow(i, effects)?;
-            self.send(i, flight.from, answer, true)?;
+            self.run_effects(i, effects)?;
+            self.send(i, message.from, answer, true)?;
         }
         Ok(())
     }
 
-    fn fail(&mut self) -> eyre::Result<()> {
+    fn expire_due(&mut self) -> eyre::Result<()> {
         let later = self
-            .failures
+            .timeouts
             .split_off(&(self.now + Duration::from_micros(1)));
-        let due = std::mem::replace(&mut self.failures, later);
+        let due = std::mem::replace(&mut self.timeouts, later);
         for (from, to) in due.into_values().flatten() {
             let to = entity::HostId::from_index(to);
             let effects = self.views[from].handle_probe_failure(self.now, to, false);
-            self.follow(from, effects)?;
+            self.run_effects(from, effects)?;
         }
         Ok(())
     }
 
-    fn follow(&mut self, at: usize, effects: membership::Effects) -> eyre::Result<()> {
+    fn run_effects(&mut self, at: usize, effects: membership::Effects) -> eyre::Result<()> {
         for effect in effects {
             if let membership::Effect::SendProbe { to, probe } = effect {
                 self.send(at, to.index(), probe, false)?;
@@ -182,27 +182,27 @@
         probe: membership::Probe,
         is_answer: bool,
     ) -> eyre::Result<()> {
-        let bytes = sent_bytes(&control::Message::Probe(probe.clone()))?;
+        let bytes = wire_bytes(&control::Message::Probe(probe.clone()))?;
         self.sent[from] += bytes;
         self.received[to] += bytes;
         if self.rng.random_bool(self.loss) {
             let prober = if is_answer { (to, from) } else { (from, to) };
-            self.failures
+            self.timeouts
                 .entry(self.now + TIMEOUT)
                 .or_default()
                 .push(prober);
             return Ok(());
         }
-        let flight = Flight {
+        let message = InFlight {
             from,
             to,
             probe,
             is_answer,
         };
-        self.flights
+        self.in_flight
             .entry(self.now + STEP)
             .or_default()
-            .push(flight);
+            .push(message);
         Ok(())
     }
 }
