--- a/crates/runtime/tests/platform_key_value.rs
+++ b/crates/runtime/tests/platform_key_value.rs
@@ -110,9 +110,12 @@
             ..Txn::default()
         })
     };
-    put(keyvalue::MAX_VALUE).unwrap();
-    assert_eq!(value(&client, "k").unwrap().len(), keyvalue::MAX_VALUE);
-    let err = put(keyvalue::MAX_VALUE + 1).unwrap_err();
+    put(keyvalue::MAX_VALUE_BYTES).unwrap();
+    assert_eq!(
+        value(&client, "k").unwrap().len(),
+        keyvalue::MAX_VALUE_BYTES
+    );
+    let err = put(keyvalue::MAX_VALUE_BYTES + 1).unwrap_err();
     assert!(matches!(err, Error::Refused { status: 400, .. }), "{err}");
     assert!(err.had_no_effect());
     service.close();
--- a/crates/standins/src/engine/api.rs
+++ b/crates/standins/src/engine/api.rs
@@ -31,7 +31,9 @@
 
 /// Body of a chat request; other fields of the API are ignored.
 #[derive(Debug, serde::Deserialize)]
-pub(super) struct Body {
+// `expecting` keeps the text of the error answer to a body of another JSON type.
+#[serde(expecting = "struct Body")]
+pub(super) struct ChatRequest {
     pub(super) model: String,
     messages: Vec<Message>,
     #[serde(default)]
@@ -42,7 +44,7 @@
     max_completion_tokens: Option<u32>,
 }
 
-impl Body {
+impl ChatRequest {
     /// Tokens of the answer; `default` if the request states no maximum.
     pub(super) fn answer_tokens(&self, default: u32) -> u32 {
         let wanted = self.max_completion_tokens.or(self.max_tokens);
@@ -79,7 +81,7 @@
     pub(super) model: String,
     pub(super) prompt: String,
     /// Tokens of the answer.
-    pub(super) total: u32,
+    pub(super) answer_tokens: u32,
     pub(super) stream: bool,
     pub(super) include_usage: bool,
     /// Number of the last token that the caller has seen, if it resumes.
@@ -100,7 +102,7 @@
     }
 
     pub(super) fn text(&self, run: run::Run) -> String {
-        (1..=self.total)
+        (1..=self.answer_tokens)
             .map(|number| self.token(run, number))
             .collect()
     }
@@ -109,8 +111,8 @@
         let prompt = self.prompt_tokens();
         json!({
             "prompt_tokens": prompt,
-            "completion_tokens": self.total,
-            "total_tokens": prompt + u64::from(self.total),
+            "completion_tokens": self.answer_tokens,
+            "total_tokens": prompt + u64::from(self.answer_tokens),
             "prompt_tokens_details": { "cached_tokens": cached.min(prompt) },
         })
     }
@@ -140,7 +142,7 @@
         })
     }
 
-    pub(super) fn whole(&self, run: run::Run, cached: u64) -> serde_json::Value {
+    pub(super) fn completion(&self, run: run::Run, cached: u64) -> serde_json::Value {
         let message = json!({ "role": "assistant", "content": self.text(run) });
         json!({
             "id": self.id,
@@ -153,7 +155,7 @@
     }
 }
 
-pub(super) fn event(id: Option<u32>, data: &str) -> Vec<u8> {
+pub(super) fn sse_event(id: Option<u32>, data: &str) -> Vec<u8> {
     let id = id.map_or_else(String::new, |id| format!("id: {id}\n"));
     format!("{id}data: {data}\n\n").into_bytes()
 }
@@ -161,12 +163,12 @@
 /// Sends the end of a stream after its last token.
 pub(super) fn finish_stream(body: &mut server::Body, chat: &Chat, cached: u64) -> io::Result<()> {
     let last = chat.chunk(&json!({}), Some("stop"));
-    body.send(&event(Some(chat.total + 1), &last.to_string()))?;
+    body.send(&sse_event(Some(chat.answer_tokens + 1), &last.to_string()))?;
     if chat.include_usage {
-        body.send(&event(
-            Some(chat.total + 2),
+        body.send(&sse_event(
+            Some(chat.answer_tokens + 2),
             &chat.usage_chunk(cached).to_string(),
         ))?;
     }
-    body.send(&event(None, "[DONE]"))
+    body.send(&sse_event(None, "[DONE]"))
 }
--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -47,7 +47,7 @@
 
 #[derive(Clone, Copy, Debug, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-enum Kind {
+enum EventKind {
     Stored,
     Removed,
 }
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, serde::Serialize)]
 pub(super) struct Event {
     seq: u64,
-    kind: Kind,
+    kind: EventKind,
     #[serde(flatten)]
     prefix: Prefix,
 }
@@ -78,14 +78,14 @@
 #[derive(Clone, Copy, Debug)]
 struct Block {
     parent: Option<u64>,
-    used: u64,
+    last_used: u64,
 }
 
 #[derive(Debug)]
 pub(super) struct Cache {
     blocks: BTreeMap<u64, Block>,
     /// Invariant: holds exactly the `used` of each block; the smallest is evicted first.
-    by_use: BTreeMap<u64, u64>,
+    lru: BTreeMap<u64, u64>,
     clock: u64,
     max_blocks: usize,
     events: VecDeque<(Instant, Event)>,
@@ -99,7 +99,7 @@
     pub(super) fn new(cfg: &engine::Settings) -> Self {
         Self {
             blocks: BTreeMap::new(),
-            by_use: BTreeMap::new(),
+            lru: BTreeMap::new(),
             clock: 0,
             max_blocks: cfg.cache_blocks,
             events: VecDeque::new(),
@@ -112,7 +112,7 @@
 
     /// Stores a prefix and returns how many of its first blocks were cached before.
     pub(super) fn store(&mut self, chain: &[u64]) -> usize {
-        let held = chain
+        let cached = chain
             .iter()
             .take_while(|block| self.blocks.contains_key(block))
             .count();
@@ -125,10 +125,10 @@
             }
         }
         stored.reverse();
-        self.publish(Kind::Stored, stored);
+        self.publish(EventKind::Stored, stored);
         let removed = self.evict();
-        self.publish(Kind::Removed, removed);
-        held
+        self.publish(EventKind::Removed, removed);
+        cached
     }
 
     fn touch(&mut self, block: u64, parent: Option<u64>) -> bool {
@@ -137,12 +137,12 @@
             block,
             Block {
                 parent,
-                used: self.clock,
+                last_used: self.clock,
             },
         );
-        self.by_use.insert(self.clock, block);
+        self.lru.insert(self.clock, block);
         if let Some(before) = before {
-            self.by_use.remove(&before.used);
+            self.lru.remove(&before.last_used);
         }
         before.is_some()
     }
@@ -150,7 +150,7 @@
     fn evict(&mut self) -> Vec<u64> {
         let mut removed = Vec::new();
         while self.blocks.len() > self.max_blocks {
-            let Some((_, block)) = self.by_use.pop_first() else {
+            let Some((_, block)) = self.lru.pop_first() else {
                 break;
             };
             self.blocks.remove(&block);
@@ -159,7 +159,7 @@
         removed
     }
 
-    fn publish(&mut self, kind: Kind, blocks: Vec<u64>) {
+    fn publish(&mut self, kind: EventKind, blocks: Vec<u64>) {
         if blocks.is_empty() {
             return;
         }
--- a/crates/standins/src/engine/chat.rs
+++ b/crates/standins/src/engine/chat.rs
@@ -19,16 +19,16 @@
     /// Prompt tokens that were cached.
     cached: u64,
     /// Tokens that have not been sent.
-    left: u64,
+    remaining_tokens: u64,
 }
 
 /// How the generation of an answer ended.
-enum End {
-    Whole,
+enum Outcome {
+    Complete,
     /// The connection is to be closed without an end.
     Cut,
     /// The connection is to stay open without further tokens.
-    Silent,
+    Stalled,
     /// The run was cancelled, resumed elsewhere, or the engine closes.
     Stopped,
     /// The caller is gone.
@@ -40,7 +40,7 @@
         if let Some(status) = self.faults.get().status {
             return self.refuse(exchange, status, "fault", "fault of the stand-in");
         }
-        let body = match exchange.json::<api::Body>() {
+        let body = match exchange.json::<api::ChatRequest>() {
             Ok(body) => body,
             Err(err) => return self.refuse(exchange, 400, "bad_request", &err.to_string()),
         };
@@ -55,17 +55,17 @@
         {
             return self.refuse(exchange, 404, "model_not_found", "the model is not loaded");
         }
-        let chat = self.admit(&exchange, &body);
+        let chat = self.new_chat(&exchange, &body);
         let priority = exchange
             .header("x-priority")
             .and_then(|text| text.parse().ok());
-        let work = chat.prompt_tokens() + u64::from(chat.total);
+        let work = chat.prompt_tokens() + u64::from(chat.answer_tokens);
         self.load.queue(work);
         if !self
             .slots
-            .enter(priority.unwrap_or(DEFAULT_PRIORITY), &self.control)
+            .acquire(priority.unwrap_or(DEFAULT_PRIORITY), &self.control)
         {
-            self.load.refuse(work);
+            self.load.reject(work);
             return self.refuse(
                 exchange,
                 503,
@@ -74,9 +74,9 @@
             );
         }
         self.load.start();
-        let left = self.run(exchange, &chat, work);
-        self.load.finish(left);
-        self.slots.leave();
+        let remaining_tokens = self.run(exchange, &chat, work);
+        self.load.finish(remaining_tokens);
+        self.slots.release();
     }
 
     fn refuse(&self, exchange: server::Exchange, status: u16, code: &str, message: &str) {
@@ -84,7 +84,7 @@
         exchange.refuse(status, code, message);
     }
 
-    fn admit(&self, exchange: &server::Exchange, body: &api::Body) -> api::Chat {
+    fn new_chat(&self, exchange: &server::Exchange, body: &api::ChatRequest) -> api::Chat {
         api::Chat {
             id: exchange
                 .header("x-request-id")
@@ -92,7 +92,7 @@
                 .to_owned(),
             model: body.model.clone(),
             prompt: body.prompt(),
-            total: body.answer_tokens(self.cfg.answer_tokens),
+            answer_tokens: body.answer_tokens(self.cfg.answer_tokens),
             stream: body.stream,
             include_usage: body.include_usage(),
             resume_after: exchange
@@ -119,28 +119,28 @@
         let cached = if chat.resume_after.is_some() {
             chat.prompt_tokens()
         } else {
-            self.read_prompt(chat)
+            self.prefill(chat)
         };
-        self.load.generate(chat.prompt_tokens());
+        self.load.process_tokens(chat.prompt_tokens());
         let mut answer = Answer {
             chat,
             run,
             cached,
-            left: u64::from(chat.total),
+            remaining_tokens: u64::from(chat.answer_tokens),
         };
         if chat.stream {
             self.stream(exchange, &mut answer);
         } else {
             self.respond(exchange, &mut answer);
         }
-        answer.left
+        answer.remaining_tokens
     }
 
     /// Reads the part of the prompt that is not cached. Returns the tokens that were.
-    fn read_prompt(&self, chat: &api::Chat) -> u64 {
+    fn prefill(&self, chat: &api::Chat) -> u64 {
         let blocks = cache::prefix_blocks(chat.prompt.as_bytes());
-        let held = sync::lock(&self.cache).store(&blocks) as u64;
-        let cached = held * api::BLOCK_TOKENS;
+        let cached_blocks = sync::lock(&self.cache).store(&blocks) as u64;
+        let cached = cached_blocks * api::BLOCK_TOKENS;
         let read = chat.prompt_tokens().saturating_sub(cached);
         self.runs.count(|counters| {
             counters.prompt_tokens += read;
@@ -164,39 +164,39 @@
             chat, run, cached, ..
         } = *answer;
         let Ok(mut body) = exchange.stream("text/event-stream") else {
-            self.caller_gone(chat, run);
+            self.count_disconnect(chat, run);
             return;
         };
-        let end = self.generate(answer, |number| {
+        let outcome = self.generate(answer, |number| {
             let delta = if number == 1 {
                 json!({ "role": "assistant", "content": chat.token(run, number) })
             } else {
                 json!({ "content": chat.token(run, number) })
             };
-            body.send(&api::event(
+            body.send(&api::sse_event(
                 Some(number),
                 &chat.chunk(&delta, None).to_string(),
             ))
         });
-        match end {
-            End::Whole => {
+        match outcome {
+            Outcome::Complete => {
                 let sent = api::finish_stream(&mut body, chat, cached);
                 drop(sent);
                 body.finish();
             }
-            End::Silent => {
+            Outcome::Stalled => {
                 while self.runs.is_current(&chat.id, run)
                     && self.faults.get().stall_after_tokens.is_some()
                     && self
                         .control
                         .sleep(self.cfg.token_time.max(Duration::from_millis(5)))
                 {}
-                body.cut();
+                body.abort();
             }
-            End::Cut | End::Stopped => body.cut(),
-            End::CallerGone => {
-                self.caller_gone(chat, run);
-                body.cut();
+            Outcome::Cut | Outcome::Stopped => body.abort(),
+            Outcome::CallerGone => {
+                self.count_disconnect(chat, run);
+                body.abort();
             }
         }
     }
@@ -205,68 +205,68 @@
         let Answer {
             chat, run, cached, ..
         } = *answer;
-        let end = self.generate(answer, |_| Ok(()));
-        match end {
-            End::Whole => exchange.respond(200, &chat.whole(run, cached)),
-            End::Cut => exchange.respond_cut(&chat.whole(run, cached)),
-            End::Silent => exchange.stall(&self.control, || {
+        let outcome = self.generate(answer, |_| Ok(()));
+        match outcome {
+            Outcome::Complete => exchange.respond(200, &chat.completion(run, cached)),
+            Outcome::Cut => exchange.respond_truncated(&chat.completion(run, cached)),
+            Outcome::Stalled => exchange.stall(&self.control, || {
                 self.faults.get().stall_after_tokens.is_some()
                     && self.runs.is_current(&chat.id, run)
             }),
-            End::Stopped | End::CallerGone => exchange.hang_up(),
+            Outcome::Stopped | Outcome::CallerGone => exchange.hang_up(),
         }
     }
 
     /// Generates the tokens that the caller has not seen, and hands the number of each to `send`.
-    fn generate<F>(&self, answer: &mut Answer<'_>, mut send: F) -> End
+    fn generate<F>(&self, answer: &mut Answer<'_>, mut send: F) -> Outcome
     where
         F: FnMut(u32) -> io::Result<()>,
     {
         let Answer { chat, run, .. } = *answer;
-        let seen = chat.resume_after.unwrap_or(0).min(chat.total);
-        for number in seen + 1..=chat.total {
-            if let Some(end) = self.fault_end(number - 1 - seen) {
-                return end;
+        let seen = chat.resume_after.unwrap_or(0).min(chat.answer_tokens);
+        for number in seen + 1..=chat.answer_tokens {
+            if let Some(outcome) = self.injected_fault(number - 1 - seen) {
+                return outcome;
             }
             // Tokens that an earlier connection generated are only sent again.
-            let fresh = number > run.made;
+            let fresh = number > run.generated;
             if fresh && !self.control.sleep(self.slowed(self.cfg.token_time)) {
-                return End::Stopped;
+                return Outcome::Stopped;
             }
             if !self.runs.is_current(&chat.id, run) {
-                return End::Stopped;
+                return Outcome::Stopped;
             }
             self.runs.generate(&chat.id, number);
-            self.load.generate(1);
-            answer.left -= 1;
+            self.load.process_tokens(1);
+            answer.remaining_tokens -= 1;
             if send(number).is_err() {
-                return End::CallerGone;
+                return Outcome::CallerGone;
             }
         }
-        self.keep_answer(chat, run);
-        End::Whole
+        self.cache_answer(chat, run);
+        Outcome::Complete
     }
 
     /// Ends the answer if a fault is set for it after `sent` tokens.
-    fn fault_end(&self, sent: u32) -> Option<End> {
+    fn injected_fault(&self, sent: u32) -> Option<Outcome> {
         let mut faults = self.faults.lock();
-        let end = match (faults.cut_after_tokens, faults.stall_after_tokens) {
-            (Some(after), _) if after == sent => End::Cut,
-            (_, Some(after)) if after == sent => End::Silent,
+        let outcome = match (faults.cut_after_tokens, faults.stall_after_tokens) {
+            (Some(after), _) if after == sent => Outcome::Cut,
+            (_, Some(after)) if after == sent => Outcome::Stalled,
             _ => return None,
         };
-        server::strike(&mut faults.times).then_some(end)
+        server::take_fault(&mut faults.times).then_some(outcome)
     }
 
     /// Caches the prompt together with its answer, for the next turn of the chat.
-    fn keep_answer(&self, chat: &api::Chat, run: run::Run) {
+    fn cache_answer(&self, chat: &api::Chat, run: run::Run) {
         let text = format!("{}assistant\n{}\n", chat.prompt, chat.text(run));
         let blocks = cache::prefix_blocks(text.as_bytes());
         sync::lock(&self.cache).store(&blocks);
     }
 
     /// Counts a run whose caller closed the connection. It can be resumed.
-    fn caller_gone(&self, chat: &api::Chat, run: run::Run) {
+    fn count_disconnect(&self, chat: &api::Chat, run: run::Run) {
         if self.runs.is_current(&chat.id, run) {
             self.runs.count(|counters| counters.cancels += 1);
         }
--- a/crates/standins/src/engine/commands.rs
+++ b/crates/standins/src/engine/commands.rs
@@ -41,7 +41,8 @@
 
 /// An order with its fencing number: the body of `POST /orders`.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-#[serde(deny_unknown_fields)]
+// `expecting` keeps the text of the error answer to a body of another JSON type.
+#[serde(deny_unknown_fields, expecting = "struct Ordered")]
 pub struct FencedCommand {
     /// Fencing number; a larger one is newer.
     pub fence: u64,
--- a/crates/standins/src/engine/load.rs
+++ b/crates/standins/src/engine/load.rs
@@ -10,7 +10,7 @@
 const MAX_HISTORY: usize = 8192;
 
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
-pub(super) struct Work {
+pub(super) struct LoadSample {
     running: u32,
     queued: u32,
     /// Prompt tokens to read and answer tokens to generate of all requests taken.
@@ -20,20 +20,20 @@
 #[derive(Debug, serde::Serialize)]
 pub(super) struct Report {
     #[serde(flatten)]
-    work: Work,
+    sample: LoadSample,
     slots: u32,
 }
 
 #[derive(Debug)]
-pub(super) struct Load {
+pub(super) struct LoadReporter {
     lag: Duration,
     /// Invariant: never empty, in the order of time.
-    history: Mutex<VecDeque<(Instant, Work)>>,
+    history: Mutex<VecDeque<(Instant, LoadSample)>>,
 }
 
-impl Load {
+impl LoadReporter {
     pub(super) fn new(lag: Duration) -> Self {
-        let start = VecDeque::from([(Instant::now(), Work::default())]);
+        let start = VecDeque::from([(Instant::now(), LoadSample::default())]);
         Self {
             lag,
             history: Mutex::new(start),
@@ -41,46 +41,46 @@
     }
 
     pub(super) fn queue(&self, tokens: u64) {
-        self.change(|work| {
-            work.queued += 1;
-            work.tokens += tokens;
+        self.change(|sample| {
+            sample.queued += 1;
+            sample.tokens += tokens;
         });
     }
 
-    pub(super) fn refuse(&self, tokens: u64) {
-        self.change(|work| {
-            work.queued -= 1;
-            work.tokens -= tokens;
+    pub(super) fn reject(&self, tokens: u64) {
+        self.change(|sample| {
+            sample.queued -= 1;
+            sample.tokens -= tokens;
         });
     }
 
     pub(super) fn start(&self) {
-        self.change(|work| {
-            work.queued -= 1;
-            work.running += 1;
+        self.change(|sample| {
+            sample.queued -= 1;
+            sample.running += 1;
         });
     }
 
-    pub(super) fn generate(&self, tokens: u64) {
-        self.change(|work| work.tokens -= tokens);
+    pub(super) fn process_tokens(&self, tokens: u64) {
+        self.change(|sample| sample.tokens -= tokens);
     }
 
     pub(super) fn finish(&self, tokens: u64) {
-        self.change(|work| {
-            work.running -= 1;
-            work.tokens -= tokens;
+        self.change(|sample| {
+            sample.running -= 1;
+            sample.tokens -= tokens;
         });
     }
 
     fn change<F>(&self, f: F)
     where
-        F: FnOnce(&mut Work),
+        F: FnOnce(&mut LoadSample),
     {
         let mut history = sync::lock(&self.history);
-        let (_, mut work) = history.back().copied().expect("the history is never empty");
-        f(&mut work);
+        let (_, mut sample) = history.back().copied().expect("the history is never empty");
+        f(&mut sample);
         let now = Instant::now();
-        history.push_back((now, work));
+        history.push_back((now, sample));
         while history.len() > MAX_HISTORY || history.get(1).is_some_and(|c| c.0 + self.lag <= now) {
             history.pop_front();
         }
@@ -91,10 +91,10 @@
         let history = sync::lock(&self.history);
         let now = Instant::now();
         let seen = history.iter().rev().find(|(at, _)| *at + self.lag <= now);
-        let work = seen
+        let sample = seen
             .or(history.front())
-            .map(|(_, work)| *work)
+            .map(|(_, sample)| *sample)
             .unwrap_or_default();
-        Report { work, slots }
+        Report { sample, slots }
     }
 }
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -118,7 +118,7 @@
 /// What an engine has counted since it started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Number of runs by `x-request-id`. Runs beyond [`run::MAX_COUNTED`] ids are not listed.
+    /// Number of runs by `x-request-id`. Runs beyond [`run::MAX_COUNTED_IDS`] ids are not listed.
     pub runs: BTreeMap<String, u32>,
     /// Runs that were continued on another connection.
     pub resumes: u64,
@@ -141,7 +141,7 @@
     server: server::Server,
 }
 
-server::controls!(Engine, Faults);
+server::impl_stand_in!(Engine, Faults);
 
 impl Engine {
     /// Starts an engine.
@@ -174,10 +174,10 @@
 struct Shared {
     cfg: Settings,
     control: Arc<server::Control>,
-    faults: server::Switch<Faults>,
+    faults: server::FaultSwitch<Faults>,
     runs: run::Runs,
     slots: run::Slots,
-    load: load::Load,
+    load: load::LoadReporter,
     cache: Mutex<cache::Cache>,
     commands: commands::Commands,
 }
@@ -186,10 +186,12 @@
     fn new(cfg: Settings, control: Arc<server::Control>) -> Self {
         Self {
             control,
-            faults: server::Switch::new(cfg.faults.clone(), |faults| faults.refuse_connections),
+            faults: server::FaultSwitch::new(cfg.faults.clone(), |faults| {
+                faults.refuse_connections
+            }),
             runs: run::Runs::default(),
             slots: run::Slots::new(cfg.slots, cfg.queue),
-            load: load::Load::new(cfg.load_lag),
+            load: load::LoadReporter::new(cfg.load_lag),
             cache: Mutex::new(cache::Cache::new(&cfg)),
             commands: commands::Commands::new(&cfg),
             cfg,
@@ -199,7 +201,7 @@
     fn handle(&self, exchange: server::Exchange) {
         let path = exchange.path().to_owned();
         if path == "/faults" {
-            return self.faults.post(exchange, &self.control);
+            return self.faults.handle_post(exchange, &self.control);
         }
         if self.faults.get().stall {
             return exchange.stall(&self.control, || self.faults.get().stall);
--- a/crates/standins/src/engine/run.rs
+++ b/crates/standins/src/engine/run.rs
@@ -8,13 +8,13 @@
 use crate::{engine, server, sync};
 
 /// Request ids whose runs are counted.
-pub(super) const MAX_COUNTED: usize = 200_000;
+pub(super) const MAX_COUNTED_IDS: usize = 200_000;
 
 /// Runs that can be resumed; the oldest is forgotten first.
 const MAX_RUNS: usize = 4096;
 
 /// Pause between two looks at whether a waiting request should give up.
-const QUEUE_PAUSE: Duration = Duration::from_millis(20);
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A run of a request.
 #[derive(Clone, Copy, Debug)]
@@ -22,16 +22,16 @@
     /// Number of the run among all of the engine; its text is made from it.
     pub(super) number: u64,
     /// Tokens that have been generated.
-    pub(super) made: u32,
+    pub(super) generated: u32,
     /// Number of the connection that carries the run; larger after each resume.
     pub(super) connection: u32,
     cancelled: bool,
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct RunsInner {
     runs: BTreeMap<String, Run>,
-    order: VecDeque<String>,
+    start_order: VecDeque<String>,
     next: u64,
     counters: engine::Counters,
 }
@@ -39,7 +39,7 @@
 /// Registry of runs by request id, with the counters of the engine.
 #[derive(Debug, Default)]
 pub(super) struct Runs {
-    inner: Mutex<Inner>,
+    inner: Mutex<RunsInner>,
 }
 
 impl Runs {
@@ -49,19 +49,19 @@
         inner.next += 1;
         let run = Run {
             number: inner.next,
-            made: 0,
+            generated: 0,
             connection: 0,
             cancelled: false,
         };
         if inner.runs.insert(id.to_owned(), run).is_none() {
-            inner.order.push_back(id.to_owned());
+            inner.start_order.push_back(id.to_owned());
         }
-        if inner.order.len() > MAX_RUNS {
-            let oldest = inner.order.pop_front();
+        if inner.start_order.len() > MAX_RUNS {
+            let oldest = inner.start_order.pop_front();
             oldest.and_then(|id| inner.runs.remove(&id));
         }
         let counted = &mut inner.counters.runs;
-        if counted.len() < MAX_COUNTED || counted.contains_key(id) {
+        if counted.len() < MAX_COUNTED_IDS || counted.contains_key(id) {
             *counted.entry(id.to_owned()).or_default() += 1;
         }
         run
@@ -86,14 +86,14 @@
         })
     }
 
-    /// Notes that token number `made` of a run has been generated.
-    pub(super) fn generate(&self, id: &str, made: u32) {
+    /// Notes that token number `generated` of a run has been generated.
+    pub(super) fn generate(&self, id: &str, generated: u32) {
         let mut inner = sync::lock(&self.inner);
         let Some(run) = inner.runs.get_mut(id) else {
             return;
         };
-        if made > run.made {
-            run.made = made;
+        if generated > run.generated {
+            run.generated = generated;
             inner.counters.tokens += 1;
         }
     }
@@ -123,7 +123,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Line {
+struct SlotState {
     running: u32,
     next: u64,
     /// Requests that wait: the most urgent first, then the earliest.
@@ -135,7 +135,7 @@
 pub(super) struct Slots {
     slots: u32,
     queue: usize,
-    line: Mutex<Line>,
+    state: Mutex<SlotState>,
     changed: Condvar,
 }
 
@@ -144,37 +144,37 @@
         Self {
             slots,
             queue,
-            line: Mutex::default(),
+            state: Mutex::default(),
             changed: Condvar::new(),
         }
     }
 
     /// Waits for a slot. Returns false if the queue is full or the engine closes.
-    pub(super) fn enter(&self, priority: u8, control: &server::Control) -> bool {
-        let mut line = sync::lock(&self.line);
-        if line.running >= self.slots && line.waiting.len() >= self.queue {
+    pub(super) fn acquire(&self, priority: u8, control: &server::Control) -> bool {
+        let mut state = sync::lock(&self.state);
+        if state.running >= self.slots && state.waiting.len() >= self.queue {
             return false;
         }
-        line.next += 1;
-        let place = (Reverse(priority), line.next);
-        line.waiting.insert(place);
-        while line.running >= self.slots || line.waiting.first() != Some(&place) {
+        state.next += 1;
+        let ticket = (Reverse(priority), state.next);
+        state.waiting.insert(ticket);
+        while state.running >= self.slots || state.waiting.first() != Some(&ticket) {
             if control.is_closing() {
-                line.waiting.remove(&place);
+                state.waiting.remove(&ticket);
                 return false;
             }
-            let waited = self.changed.wait_timeout(line, QUEUE_PAUSE);
-            line = waited.unwrap_or_else(PoisonError::into_inner).0;
+            let waited = self.changed.wait_timeout(state, QUEUE_POLL_INTERVAL);
+            state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
-        line.waiting.remove(&place);
-        line.running += 1;
+        state.waiting.remove(&ticket);
+        state.running += 1;
         self.changed.notify_all();
         true
     }
 
     /// Gives a slot back.
-    pub(super) fn leave(&self) {
-        sync::lock(&self.line).running -= 1;
+    pub(super) fn release(&self) {
+        sync::lock(&self.state).running -= 1;
         self.changed.notify_all();
     }
 }
--- a/crates/standins/src/host_list_server.rs
+++ b/crates/standins/src/host_list_server.rs
@@ -36,7 +36,7 @@
     server: server::Server,
 }
 
-server::controls!(HostListServer, Faults);
+server::impl_stand_in!(HostListServer, Faults);
 
 impl HostListServer {
     /// Starts a host list on a free loopback port.
@@ -59,13 +59,13 @@
         list: topology::HostList,
     ) -> eyre::Result<Self> {
         let make = |control| Shared {
-            lists: Mutex::new(Lists {
+            lists: Mutex::new(LaggedList {
                 visible: list,
                 pending: VecDeque::new(),
                 lag,
                 reads: 0,
             }),
-            faults: server::Switch::new(Faults::default(), |faults| faults.refuse_connections),
+            faults: server::FaultSwitch::new(Faults::default(), |faults| faults.refuse_connections),
             control,
         };
         let (shared, server) = server::Server::start(addr, make, Shared::handle)?;
@@ -96,22 +96,22 @@
 }
 
 #[derive(Debug)]
-struct Lists {
+struct LaggedList {
     visible: topology::HostList,
     pending: VecDeque<(Instant, topology::HostList)>,
     lag: Duration,
     reads: u64,
 }
 
-impl Lists {
+impl LaggedList {
     fn set(&mut self, list: topology::HostList) {
         if self.pending.len() == MAX_PENDING {
-            self.show_oldest();
+            self.publish_oldest();
         }
         self.pending.push_back((Instant::now() + self.lag, list));
     }
 
-    fn show_oldest(&mut self) {
+    fn publish_oldest(&mut self) {
         if let Some((_, list)) = self.pending.pop_front() {
             self.visible = list;
         }
@@ -120,7 +120,7 @@
     fn read(&mut self) -> topology::HostList {
         let now = Instant::now();
         while self.pending.front().is_some_and(|(at, _)| *at <= now) {
-            self.show_oldest();
+            self.publish_oldest();
         }
         self.reads += 1;
         self.visible.clone()
@@ -129,15 +129,15 @@
 
 #[derive(Debug)]
 struct Shared {
-    lists: Mutex<Lists>,
-    faults: server::Switch<Faults>,
+    lists: Mutex<LaggedList>,
+    faults: server::FaultSwitch<Faults>,
     control: Arc<server::Control>,
 }
 
 impl Shared {
     fn handle(&self, exchange: server::Exchange) {
         if exchange.path() == "/faults" {
-            return self.faults.post(exchange, &self.control);
+            return self.faults.handle_post(exchange, &self.control);
         }
         if (exchange.method(), exchange.path()) != ("GET", "/hosts") {
             return exchange.refuse(404, "not_found", "only GET /hosts");
@@ -151,7 +151,7 @@
         }
         let list = sync::lock(&self.lists).read();
         if faults.cut {
-            exchange.respond_cut(&list);
+            exchange.respond_truncated(&list);
         } else {
             exchange.respond(200, &list);
         }
--- a/crates/standins/src/keyvalue/api.rs
+++ b/crates/standins/src/keyvalue/api.rs
@@ -36,9 +36,9 @@
 
 /// A 64-bit number that JSON carries as a string.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Int(pub(super) i64);
+pub(super) struct Int64(pub(super) i64);
 
-impl serde::Serialize for Int {
+impl serde::Serialize for Int64 {
     fn serialize<S>(&self, serializer: S) -> Result<S::Ok, S::Error>
     where
         S: serde::Serializer,
@@ -47,7 +47,7 @@
     }
 }
 
-impl<'de> serde::Deserialize<'de> for Int {
+impl<'de> serde::Deserialize<'de> for Int64 {
     fn deserialize<D>(deserializer: D) -> Result<Self, D::Error>
     where
         D: serde::Deserializer<'de>,
@@ -67,20 +67,20 @@
 
 #[derive(Clone, Copy, Debug, serde::Serialize)]
 pub(super) struct Header {
-    pub(super) cluster_id: Int,
-    pub(super) member_id: Int,
-    pub(super) revision: Int,
-    pub(super) raft_term: Int,
+    pub(super) cluster_id: Int64,
+    pub(super) member_id: Int64,
+    pub(super) revision: Int64,
+    pub(super) raft_term: Int64,
 }
 
 #[derive(Clone, Debug, serde::Serialize)]
 pub(super) struct Entry {
     pub(super) key: Base64,
-    pub(super) create_revision: Int,
-    pub(super) mod_revision: Int,
-    pub(super) version: Int,
+    pub(super) create_revision: Int64,
+    pub(super) mod_revision: Int64,
+    pub(super) version: Int64,
     pub(super) value: Base64,
-    pub(super) lease: Int,
+    pub(super) lease: Int64,
 }
 
 #[derive(Clone, Debug, serde::Deserialize)]
@@ -90,14 +90,14 @@
     #[serde(default, alias = "rangeEnd")]
     pub(super) range_end: Base64,
     #[serde(default)]
-    pub(super) limit: Int,
+    pub(super) limit: Int64,
     #[serde(default, alias = "keysOnly")]
     pub(super) keys_only: bool,
 }
 
 impl Range {
     /// Whether the range holds `key`. A range end of one zero byte means all keys from the start.
-    pub(super) fn holds(&self, key: &Bytes) -> bool {
+    pub(super) fn contains(&self, key: &Bytes) -> bool {
         let (from, end) = (&self.key.0, &self.range_end.0);
         if end.is_empty() {
             return key == from;
@@ -112,12 +112,12 @@
     #[serde(default)]
     pub(super) value: Base64,
     #[serde(default)]
-    pub(super) lease: Int,
+    pub(super) lease: Int64,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
-pub(super) enum Relation {
+pub(super) enum CompareResult {
     #[default]
     Equal,
     Greater,
@@ -127,7 +127,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
-pub(super) enum Field {
+pub(super) enum CompareTarget {
     #[default]
     Version,
     Create,
@@ -139,20 +139,20 @@
 #[derive(Clone, Debug, serde::Deserialize)]
 pub(super) struct Compare {
     #[serde(default)]
-    pub(super) result: Relation,
+    pub(super) result: CompareResult,
     #[serde(default)]
-    pub(super) target: Field,
+    pub(super) target: CompareTarget,
     pub(super) key: Base64,
     #[serde(default)]
-    pub(super) version: Int,
+    pub(super) version: Int64,
     #[serde(default, alias = "createRevision")]
-    pub(super) create_revision: Int,
+    pub(super) create_revision: Int64,
     #[serde(default, alias = "modRevision")]
-    pub(super) mod_revision: Int,
+    pub(super) mod_revision: Int64,
     #[serde(default)]
     pub(super) value: Base64,
     #[serde(default)]
-    pub(super) lease: Int,
+    pub(super) lease: Int64,
 }
 
 #[derive(Clone, Debug, serde::Deserialize)]
@@ -176,9 +176,9 @@
 #[derive(Clone, Debug, serde::Deserialize)]
 pub(super) struct Lease {
     #[serde(default, rename = "ID", alias = "id")]
-    pub(super) id: Int,
+    pub(super) id: Int64,
     #[serde(default, rename = "TTL", alias = "ttl")]
-    pub(super) ttl: Int,
+    pub(super) ttl: Int64,
 }
 
 #[derive(Clone, Debug, serde::Deserialize)]
@@ -192,7 +192,7 @@
     #[serde(flatten)]
     pub(super) range: Range,
     #[serde(default, alias = "startRevision")]
-    pub(super) start_revision: Int,
+    pub(super) start_revision: Int64,
     /// Whether messages without events tell how far the watch has come.
     #[serde(default, alias = "progressNotify")]
     pub(super) progress_notify: bool,
--- a/crates/standins/src/keyvalue/mod.rs
+++ b/crates/standins/src/keyvalue/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! It implements `/v3/kv/range`, `/v3/kv/put`, `/v3/kv/deleterange`, `/v3/kv/txn`,
 //! `/v3/kv/compaction`, `/v3/lease/grant`, `/v3/lease/keepalive`, `/v3/lease/revoke` and
-//! `/v3/watch`, which answers with a stream of JSON objects. Values hold up to [`MAX_VALUE`] bytes.
+//! `/v3/watch`, which answers with a stream of JSON objects. Values hold up to [`MAX_VALUE_BYTES`] bytes.
 //! Each call is counted by its kind; a watch counts as one call however long it waits.
 
 mod api;
@@ -16,10 +16,10 @@
 
 use crate::{server, sync};
 
-pub use store::MAX_VALUE;
+pub use store::MAX_VALUE_BYTES;
 
 /// Longest sleep of a watch between two looks at leases, faults and the end of the service.
-const WATCH_PAUSE: Duration = Duration::from_millis(20);
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time without events after which a watch that asked for it is told how far it has come.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
@@ -82,7 +82,7 @@
     server: server::Server,
 }
 
-server::controls!(KeyValue, Faults);
+server::impl_stand_in!(KeyValue, Faults);
 
 impl KeyValue {
     /// Starts an empty key-value service on a free loopback port.
@@ -103,7 +103,7 @@
         let make = |control| Shared {
             state: Mutex::default(),
             changed: Condvar::new(),
-            faults: server::Switch::new(Faults::default(), |faults| faults.refuse_connections),
+            faults: server::FaultSwitch::new(Faults::default(), |faults| faults.refuse_connections),
             control,
         };
         let (shared, server) = server::Server::start(addr, make, Shared::handle)?;
@@ -158,29 +158,29 @@
 struct Shared {
     state: Mutex<State>,
     changed: Condvar,
-    faults: server::Switch<Faults>,
+    faults: server::FaultSwitch<Faults>,
     control: Arc<server::Control>,
 }
 
 /// What becomes of a write.
-enum Fate {
+enum WriteOutcome {
     Answered,
     AnswerLost,
-    Lost,
-    Late(Duration),
+    WriteLost,
+    Delayed(Duration),
 }
 
-fn refuse(exchange: server::Exchange, refusal: &store::Refusal) {
+fn respond_error(exchange: server::Exchange, err: &store::ApiError) {
     let body = json!({
-        "error": refusal.message,
-        "message": refusal.message,
-        "code": refusal.code,
+        "error": err.message,
+        "message": err.message,
+        "code": err.code,
         "details": [],
     });
-    exchange.respond(refusal.status, &body);
+    exchange.respond(err.status, &body);
 }
 
-fn invalid(exchange: server::Exchange, err: &serde_json::Error) {
+fn respond_invalid(exchange: server::Exchange, err: &serde_json::Error) {
     let message = err.to_string();
     let body = json!({ "error": message, "message": message, "code": INVALID_ARGUMENT });
     exchange.respond(400, &body);
@@ -190,7 +190,7 @@
     fn handle(&self, exchange: server::Exchange) {
         let path = exchange.path().to_owned();
         if path == "/faults" {
-            return self.faults.post(exchange, &self.control);
+            return self.faults.handle_post(exchange, &self.control);
         }
         self.count(&path);
         let faults = self.faults.get();
@@ -199,9 +199,9 @@
         }
         if faults.down {
             let message = "etcdserver: no leader";
-            return refuse(
+            return respond_error(
                 exchange,
-                &store::Refusal {
+                &store::ApiError {
                     status: 503,
                     code: UNAVAILABLE,
                     message,
@@ -250,9 +250,9 @@
     }
 
     /// Applies a call and returns its answer.
-    fn apply<T, F>(&self, call: &T, f: F) -> Result<Value, store::Refusal>
+    fn apply<T, F>(&self, call: &T, f: F) -> Result<Value, store::ApiError>
     where
-        F: FnOnce(&mut store::Store, &T) -> Result<Value, store::Refusal>,
+        F: FnOnce(&mut store::Store, &T) -> Result<Value, store::ApiError>,
     {
         let mut state = sync::lock(&self.state);
         state.store.expire();
@@ -264,32 +264,32 @@
     fn read<T, F>(&self, exchange: server::Exchange, f: F)
     where
         T: serde::de::DeserializeOwned,
-        F: FnOnce(&mut store::Store, &T) -> Result<Value, store::Refusal>,
+        F: FnOnce(&mut store::Store, &T) -> Result<Value, store::ApiError>,
     {
         match exchange.json::<T>() {
-            Ok(call) => answer(exchange, self.apply(&call, f)),
-            Err(err) => invalid(exchange, &err),
+            Ok(call) => respond_result(exchange, self.apply(&call, f)),
+            Err(err) => respond_invalid(exchange, &err),
         }
     }
 
     fn write<T, F>(&self, exchange: server::Exchange, f: F)
     where
         T: serde::de::DeserializeOwned,
-        F: FnOnce(&mut store::Store, &T) -> Result<Value, store::Refusal>,
+        F: FnOnce(&mut store::Store, &T) -> Result<Value, store::ApiError>,
     {
         let call = match exchange.json::<T>() {
             Ok(call) => call,
-            Err(err) => return invalid(exchange, &err),
+            Err(err) => return respond_invalid(exchange, &err),
         };
-        match self.fate() {
-            Fate::Answered => answer(exchange, self.apply(&call, f)),
-            Fate::AnswerLost => {
+        match self.next_write_outcome() {
+            WriteOutcome::Answered => respond_result(exchange, self.apply(&call, f)),
+            WriteOutcome::AnswerLost => {
                 // The caller sees a lost answer whatever the answer was.
                 drop(self.apply(&call, f));
                 exchange.hang_up();
             }
-            Fate::Lost => exchange.hang_up(),
-            Fate::Late(span) => {
+            WriteOutcome::WriteLost => exchange.hang_up(),
+            WriteOutcome::Delayed(span) => {
                 exchange.hang_up();
                 if self.control.sleep(span) {
                     drop(self.apply(&call, f));
@@ -311,26 +311,26 @@
         }
     }
 
-    fn fate(&self) -> Fate {
+    fn next_write_outcome(&self) -> WriteOutcome {
         let mut faults = self.faults.lock();
         if faults.lost_answers > 0 {
             faults.lost_answers -= 1;
-            Fate::AnswerLost
+            WriteOutcome::AnswerLost
         } else if faults.lost_writes > 0 {
             faults.lost_writes -= 1;
-            Fate::Lost
+            WriteOutcome::WriteLost
         } else if faults.late_writes > 0 {
             faults.late_writes -= 1;
-            Fate::Late(Duration::from_millis(faults.late_by_ms))
+            WriteOutcome::Delayed(Duration::from_millis(faults.late_by_ms))
         } else {
-            Fate::Answered
+            WriteOutcome::Answered
         }
     }
 
     fn watch(&self, exchange: server::Exchange) {
         let watch = match exchange.json::<api::Watch>() {
             Ok(watch) => watch.create_request,
-            Err(err) => return invalid(exchange, &err),
+            Err(err) => return respond_invalid(exchange, &err),
         };
         let (mut next, restores, header) = {
             let state = sync::lock(&self.state);
@@ -345,16 +345,16 @@
         };
         let mut message = json!({ "result": { "header": header, "created": true } });
         while send(&mut body, &message).is_ok() {
-            match self.next_changes(&watch, &mut next, restores) {
+            match self.next_message(&watch, &mut next, restores) {
                 Some(changes) => message = changes,
                 None => break,
             }
         }
-        body.cut();
+        body.abort();
     }
 
     /// Waits for the next message of a watch; `None` when the watch ends.
-    fn next_changes(
+    fn next_message(
         &self,
         watch: &api::WatchCreate,
         next: &mut i64,
@@ -387,7 +387,7 @@
             if watch.progress_notify && !faults.stall && Instant::now() >= due {
                 return Some(json!({ "result": { "header": header } }));
             }
-            let waited = self.changed.wait_timeout(state, WATCH_PAUSE);
+            let waited = self.changed.wait_timeout(state, WATCH_POLL_INTERVAL);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
@@ -395,13 +395,13 @@
 
 #[derive(Debug, serde::Deserialize)]
 struct Compaction {
-    revision: api::Int,
+    revision: api::Int64,
 }
 
-fn answer(exchange: server::Exchange, answer: Result<Value, store::Refusal>) {
+fn respond_result(exchange: server::Exchange, answer: Result<Value, store::ApiError>) {
     match answer {
         Ok(value) => exchange.respond(200, &value),
-        Err(refusal) => refuse(exchange, &refusal),
+        Err(err) => respond_error(exchange, &err),
     }
 }
 
--- a/crates/standins/src/keyvalue/store.rs
+++ b/crates/standins/src/keyvalue/store.rs
@@ -9,7 +9,7 @@
 use super::api;
 
 /// Largest value, in bytes.
-pub const MAX_VALUE: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// Changes that watches can be started from; older ones are compacted.
 const MAX_HISTORY: usize = 16_384;
@@ -18,32 +18,32 @@
 const MAX_LEASES: usize = 65_536;
 
 /// Id of the only member.
-const MEMBER: api::Int = api::Int(1);
+const MEMBER: api::Int64 = api::Int64(1);
 
 /// An error answer: HTTP status, gRPC code and message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Refusal {
+pub(super) struct ApiError {
     pub(super) status: u16,
     pub(super) code: u32,
     pub(super) message: &'static str,
 }
 
-const TOO_LARGE: Refusal = Refusal {
+const TOO_LARGE: ApiError = ApiError {
     status: 400,
     code: 3,
     message: "etcdserver: request is too large",
 };
-const NO_LEASE: Refusal = Refusal {
+const NO_LEASE: ApiError = ApiError {
     status: 404,
     code: 5,
     message: "etcdserver: requested lease not found",
 };
-const LEASE_EXISTS: Refusal = Refusal {
+const LEASE_EXISTS: ApiError = ApiError {
     status: 400,
     code: 9,
     message: "etcdserver: lease already exists",
 };
-const TOO_MANY_LEASES: Refusal = Refusal {
+const TOO_MANY_LEASES: ApiError = ApiError {
     status: 429,
     code: 8,
     message: "etcdserver: too many leases",
@@ -59,7 +59,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Granted {
+struct LeaseEntry {
     ttl: Duration,
     expires: Instant,
 }
@@ -69,7 +69,7 @@
 pub(super) struct Store {
     revision: i64,
     items: BTreeMap<Bytes, Item>,
-    leases: BTreeMap<i64, Granted>,
+    leases: BTreeMap<i64, LeaseEntry>,
     last_lease: i64,
     history: VecDeque<(i64, api::Event)>,
     /// Revision up to which changes have been dropped from the history.
@@ -94,7 +94,7 @@
         api::Header {
             cluster_id: MEMBER,
             member_id: MEMBER,
-            revision: api::Int(self.revision),
+            revision: api::Int64(self.revision),
             raft_term: MEMBER,
         }
     }
@@ -121,7 +121,7 @@
     }
 
     pub(super) fn range(&self, range: &api::Range) -> Value {
-        let found = self.items.iter().filter(|(key, _)| range.holds(key));
+        let found = self.items.iter().filter(|(key, _)| range.contains(key));
         let mut entries: Vec<_> = found.map(|(key, item)| entry(key, item)).collect();
         let count = entries.len();
         if let Ok(limit @ 1..) = usize::try_from(range.limit.0) {
@@ -140,7 +140,7 @@
         })
     }
 
-    pub(super) fn put(&mut self, put: &api::Put) -> Result<Value, Refusal> {
+    pub(super) fn put(&mut self, put: &api::Put) -> Result<Value, ApiError> {
         self.check(put)?;
         self.revision += 1;
         self.write(put);
@@ -149,7 +149,7 @@
 
     pub(super) fn delete_range(&mut self, range: &api::Range) -> Value {
         self.revision += 1;
-        let deleted = self.remove(|key, _| range.holds(key));
+        let deleted = self.remove(|key, _| range.contains(key));
         if deleted == 0 {
             self.revision -= 1;
         }
@@ -157,7 +157,7 @@
     }
 
     /// Applies the branch of the transaction that its compares choose, as one revision.
-    pub(super) fn txn(&mut self, txn: &api::Txn) -> Result<Value, Refusal> {
+    pub(super) fn txn(&mut self, txn: &api::Txn) -> Result<Value, ApiError> {
         let succeeded = txn.compare.iter().all(|compare| self.compare(compare));
         let ops = if succeeded {
             &txn.success
@@ -188,7 +188,7 @@
                 json!({ "response_put": { "header": self.header() } })
             }
             api::Op::DeleteRange(range) => {
-                let deleted = self.remove(|key, _| range.holds(key));
+                let deleted = self.remove(|key, _| range.contains(key));
                 *changed |= deleted > 0;
                 json!({ "response_delete_range": { "deleted": deleted.to_string() } })
             }
@@ -199,26 +199,28 @@
         let item = self.items.get(&compare.key.0);
         let number = |f: fn(&Item) -> i64| item.map_or(0, f);
         let ordering = match compare.target {
-            api::Field::Version => number(|item| item.version).cmp(&compare.version.0),
-            api::Field::Create => number(|item| item.created).cmp(&compare.create_revision.0),
-            api::Field::Mod => number(|item| item.modified).cmp(&compare.mod_revision.0),
-            api::Field::Lease => number(|item| item.lease).cmp(&compare.lease.0),
-            api::Field::Value => {
+            api::CompareTarget::Version => number(|item| item.version).cmp(&compare.version.0),
+            api::CompareTarget::Create => {
+                number(|item| item.created).cmp(&compare.create_revision.0)
+            }
+            api::CompareTarget::Mod => number(|item| item.modified).cmp(&compare.mod_revision.0),
+            api::CompareTarget::Lease => number(|item| item.lease).cmp(&compare.lease.0),
+            api::CompareTarget::Value => {
                 // Any comparison of the value of a key that does not exist fails.
                 let Some(item) = item else { return false };
                 item.value.cmp(&compare.value.0)
             }
         };
         match compare.result {
-            api::Relation::Equal => ordering.is_eq(),
-            api::Relation::NotEqual => ordering.is_ne(),
-            api::Relation::Greater => ordering.is_gt(),
-            api::Relation::Less => ordering.is_lt(),
+            api::CompareResult::Equal => ordering.is_eq(),
+            api::CompareResult::NotEqual => ordering.is_ne(),
+            api::CompareResult::Greater => ordering.is_gt(),
+            api::CompareResult::Less => ordering.is_lt(),
         }
     }
 
-    fn check(&self, put: &api::Put) -> Result<(), Refusal> {
-        if put.value.0.len() > MAX_VALUE {
+    fn check(&self, put: &api::Put) -> Result<(), ApiError> {
+        if put.value.0.len() > MAX_VALUE_BYTES {
             return Err(TOO_LARGE);
         }
         if put.lease.0 != 0 && !self.leases.contains_key(&put.lease.0) {
@@ -240,22 +242,25 @@
         self.items.insert(put.key.0.clone(), item);
     }
 
-    fn remove<F>(&mut self, chosen: F) -> usize
+    fn remove<F>(&mut self, is_selected: F) -> usize
     where
         F: Fn(&Bytes, &Item) -> bool,
     {
-        let found = self.items.iter().filter(|(key, item)| chosen(key, item));
+        let found = self
+            .items
+            .iter()
+            .filter(|(key, item)| is_selected(key, item));
         let keys: Vec<Bytes> = found.map(|(key, _)| key.clone()).collect();
         for key in &keys {
             self.items.remove(key);
-            let gone = Item {
+            let deleted = Item {
                 value: Bytes::new(),
                 created: 0,
                 modified: self.revision,
                 version: 0,
                 lease: 0,
             };
-            self.record(api::EventKind::Delete, entry(key, &gone));
+            self.record(api::EventKind::Delete, entry(key, &deleted));
         }
         keys.len()
     }
@@ -274,12 +279,12 @@
         let start = self.history.partition_point(|(at, _)| *at < from);
         let changes = self.history.range(start..);
         changes
-            .filter(|(_, event)| range.holds(&event.kv.key.0))
+            .filter(|(_, event)| range.contains(&event.kv.key.0))
             .map(|(_, event)| event.clone())
             .collect()
     }
 
-    pub(super) fn grant(&mut self, lease: &api::Lease) -> Result<Value, Refusal> {
+    pub(super) fn grant(&mut self, lease: &api::Lease) -> Result<Value, ApiError> {
         if self.leases.len() >= MAX_LEASES {
             return Err(TOO_MANY_LEASES);
         }
@@ -295,7 +300,7 @@
         let ttl = Duration::from_secs(u64::try_from(lease.ttl.0).unwrap_or(0).max(1));
         self.leases.insert(
             id,
-            Granted {
+            LeaseEntry {
                 ttl,
                 expires: Instant::now() + ttl,
             },
@@ -306,16 +311,16 @@
     /// Renews a lease. A lease that does not exist is answered with a time of zero.
     pub(super) fn keep_alive(&mut self, lease: &api::Lease) -> Value {
         let ttl = match self.leases.get_mut(&lease.id.0) {
-            Some(granted) => {
-                granted.expires = Instant::now() + granted.ttl;
-                granted.ttl
+            Some(lease_entry) => {
+                lease_entry.expires = Instant::now() + lease_entry.ttl;
+                lease_entry.ttl
             }
             None => Duration::ZERO,
         };
         json!({ "result": self.lease_answer(lease.id.0, ttl) })
     }
 
-    pub(super) fn revoke(&mut self, lease: &api::Lease) -> Result<Value, Refusal> {
+    pub(super) fn revoke(&mut self, lease: &api::Lease) -> Result<Value, ApiError> {
         self.leases.remove(&lease.id.0).ok_or(NO_LEASE)?;
         self.remove_leased(lease.id.0);
         Ok(json!({ "header": self.header() }))
@@ -323,7 +328,7 @@
 
     fn lease_answer(&self, id: i64, ttl: Duration) -> Value {
         let ttl = ttl.as_secs().to_string();
-        json!({ "header": self.header(), "ID": api::Int(id), "TTL": ttl })
+        json!({ "header": self.header(), "ID": api::Int64(id), "TTL": ttl })
     }
 
     fn remove_leased(&mut self, lease: i64) {
@@ -333,14 +338,14 @@
         }
     }
 
-    /// Removes the leases that have lapsed, with their entries.
+    /// Removes the leases that have expired, with their entries.
     pub(super) fn expire(&mut self) {
         let now = Instant::now();
-        let lapsed = self
+        let expired = self
             .leases
             .iter()
-            .filter(|(_, granted)| granted.expires <= now);
-        let ids: Vec<i64> = lapsed.map(|(id, _)| *id).collect();
+            .filter(|(_, lease_entry)| lease_entry.expires <= now);
+        let ids: Vec<i64> = expired.map(|(id, _)| *id).collect();
         for id in ids {
             self.leases.remove(&id);
             self.remove_leased(id);
@@ -351,10 +356,10 @@
 fn entry(key: &Bytes, item: &Item) -> api::Entry {
     api::Entry {
         key: api::Base64(key.clone()),
-        create_revision: api::Int(item.created),
-        mod_revision: api::Int(item.modified),
-        version: api::Int(item.version),
+        create_revision: api::Int64(item.created),
+        mod_revision: api::Int64(item.modified),
+        version: api::Int64(item.version),
         value: api::Base64(item.value.clone()),
-        lease: api::Int(item.lease),
+        lease: api::Int64(item.lease),
     }
 }
--- a/crates/standins/src/server/exchange.rs
+++ b/crates/standins/src/server/exchange.rs
@@ -6,7 +6,7 @@
 use crate::server;
 
 /// Largest body of a request, in bytes.
-const MAX_BODY: u64 = 16 << 20;
+const MAX_BODY_BYTES: u64 = 16 << 20;
 
 /// Header that says whether a refused request ran.
 const OUTCOME_HEADER: &str = "x-outcome";
@@ -15,7 +15,7 @@
 const NOT_RUN: &str = "not_run";
 
 /// Pause between two looks at whether a stall goes on.
-const STALL_PAUSE: Duration = Duration::from_millis(5);
+const STALL_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 fn header(name: &str, value: &str) -> tiny_http::Header {
     tiny_http::Header::from_bytes(name, value).expect("header of a stand-in is ASCII")
@@ -39,9 +39,12 @@
     pub(super) fn read(mut req: tiny_http::Request) -> Option<Self> {
         let expected = req.body_length();
         let mut body = Vec::new();
-        let read = req.as_reader().take(MAX_BODY + 1).read_to_end(&mut body);
-        let whole = read.is_ok() && expected.is_none_or(|len| len == body.len());
-        (whole && body.len() as u64 <= MAX_BODY).then_some(Self { req, body })
+        let read = req
+            .as_reader()
+            .take(MAX_BODY_BYTES + 1)
+            .read_to_end(&mut body);
+        let complete = read.is_ok() && expected.is_none_or(|len| len == body.len());
+        (complete && body.len() as u64 <= MAX_BODY_BYTES).then_some(Self { req, body })
     }
 
     /// Method of the request.
@@ -111,7 +114,7 @@
     }
 
     /// Sends the head and the first half of a JSON answer, then closes the connection.
-    pub(crate) fn respond_cut<T>(self, value: &T)
+    pub(crate) fn respond_truncated<T>(self, value: &T)
     where
         T: serde::Serialize,
     {
@@ -134,11 +137,11 @@
     }
 
     /// Says nothing while `holds` returns true, then closes the connection.
-    pub(crate) fn stall<F>(self, control: &server::Control, holds: F)
+    pub(crate) fn stall<F>(self, control: &server::Control, is_stalled: F)
     where
         F: Fn() -> bool,
     {
-        while holds() && control.sleep(STALL_PAUSE) {}
+        while is_stalled() && control.sleep(STALL_POLL_INTERVAL) {}
         self.hang_up();
     }
 
@@ -153,7 +156,7 @@
         w.flush()?;
         let sink = Sink {
             inner: w,
-            cut: false,
+            discard: false,
         };
         Ok(Body {
             encoder: chunked_transfer::Encoder::with_flush_after_write(sink),
@@ -168,15 +171,15 @@
     serde_json::to_vec(value).expect("answer of a stand-in serializes")
 }
 
-/// Writer that discards everything once `cut` is set, so that no last chunk is sent.
+/// Writer that discards everything once `discard` is set, so that no last chunk is sent.
 struct Sink {
     inner: Box<dyn Write + Send>,
-    cut: bool,
+    discard: bool,
 }
 
 impl Write for Sink {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
-        if self.cut {
+        if self.discard {
             return Ok(buf.len());
         }
         self.inner.write(buf)
@@ -206,8 +209,8 @@
     }
 
     /// Closes the connection without the last chunk.
-    pub(crate) fn cut(mut self) {
-        self.encoder.get_mut().cut = true;
+    pub(crate) fn abort(mut self) {
+        self.encoder.get_mut().discard = true;
         drop(self.encoder);
     }
 }
--- a/crates/standins/src/server/mod.rs
+++ b/crates/standins/src/server/mod.rs
@@ -18,10 +18,10 @@
 use crate::sync;
 
 pub(crate) use exchange::{Body, Exchange};
-pub(crate) use switch::{Switch, strike};
+pub(crate) use switch::{FaultSwitch, take_fault};
 
 /// Gives a stand-in with the fields `server` and `shared` the functions that all have.
-macro_rules! controls {
+macro_rules! impl_stand_in {
     ($name:ident, $faults:ty) => {
         impl $name {
             /// Address that the stand-in is bound to.
@@ -44,7 +44,7 @@
     };
 }
 
-pub(crate) use controls;
+pub(crate) use impl_stand_in;
 
 /// Requests that one server handles at once; those beyond are answered 503 before they run.
 const MAX_ACTIVE: usize = 512;
@@ -56,7 +56,7 @@
 const LISTEN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Pause between two looks at the listening socket.
-const LISTEN_PAUSE: Duration = Duration::from_millis(5);
+const LISTEN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Debug, Default)]
 struct State {
@@ -103,7 +103,7 @@
         self.wake();
         let deadline = Instant::now() + LISTEN_TIMEOUT;
         while TcpStream::connect(self.addr).is_ok() == refusing && Instant::now() < deadline {
-            thread::sleep(LISTEN_PAUSE);
+            thread::sleep(LISTEN_POLL_INTERVAL);
         }
     }
 
@@ -130,13 +130,13 @@
     }
 
     /// Counts a request in, unless the bound is reached.
-    fn enter(self: &Arc<Self>) -> Option<Active> {
+    fn begin_request(self: &Arc<Self>) -> Option<ActiveRequest> {
         let mut state = sync::lock(&self.state);
         if state.active >= MAX_ACTIVE {
             return None;
         }
         state.active += 1;
-        Some(Active(Arc::clone(self)))
+        Some(ActiveRequest(Arc::clone(self)))
     }
 
     fn wait_idle(&self) {
@@ -149,9 +149,9 @@
 }
 
 /// Place of a request that is handled; dropping it counts the request out.
-struct Active(Arc<Control>);
+struct ActiveRequest(Arc<Control>);
 
-impl Drop for Active {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         sync::lock(&self.0.state).active -= 1;
         self.0.changed.notify_all();
@@ -252,7 +252,7 @@
             *sync::lock(&control.http) = Some(Arc::clone(&http));
             return Some(http);
         }
-        control.sleep(LISTEN_PAUSE);
+        control.sleep(LISTEN_POLL_INTERVAL);
     }
     None
 }
@@ -261,7 +261,7 @@
 where
     H: Fn(Exchange) + Send + Sync + 'static,
 {
-    let Some(active) = control.enter() else {
+    let Some(active) = control.begin_request() else {
         return exchange::refuse_unread(req);
     };
     let handler = Arc::clone(handler);
--- a/crates/standins/src/server/switch.rs
+++ b/crates/standins/src/server/switch.rs
@@ -6,13 +6,13 @@
 
 /// Faults that can be replaced while the stand-in runs.
 #[derive(Debug)]
-pub(crate) struct Switch<T> {
+pub(crate) struct FaultSwitch<T> {
     faults: Mutex<T>,
     /// Whether faults ask for connections to be refused.
     refuses: fn(&T) -> bool,
 }
 
-impl<T> Switch<T>
+impl<T> FaultSwitch<T>
 where
     T: Clone + serde::de::DeserializeOwned,
 {
@@ -41,7 +41,7 @@
     }
 
     /// Answers `POST /faults`.
-    pub(crate) fn post(&self, exchange: server::Exchange, control: &server::Control) {
+    pub(crate) fn handle_post(&self, exchange: server::Exchange, control: &server::Control) {
         match exchange.json::<T>() {
             Ok(faults) => {
                 exchange.respond(200, &serde_json::json!({}));
@@ -53,7 +53,7 @@
 }
 
 /// Takes one from the number of times that a fault still strikes; `None` strikes each time.
-pub(crate) fn strike(times: &mut Option<u32>) -> bool {
+pub(crate) fn take_fault(times: &mut Option<u32>) -> bool {
     match times {
         Some(0) => false,
         Some(left) => {
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -14,7 +14,7 @@
 use crate::{server, sync};
 
 /// Keys and request ids whose runs are counted, each.
-const MAX_COUNTED: usize = 500_000;
+const MAX_COUNTED_NAMES: usize = 500_000;
 
 /// Settings of a service.
 #[derive(Clone, Debug)]
@@ -87,7 +87,7 @@
     server: server::Server,
 }
 
-server::controls!(Service, Faults);
+server::impl_stand_in!(Service, Faults);
 
 impl Service {
     /// Starts a service.
@@ -100,7 +100,7 @@
             cfg.listen,
             |control| Shared {
                 run_time: cfg.run_time,
-                faults: server::Switch::new(cfg.faults, |faults| faults.refuse_connections),
+                faults: server::FaultSwitch::new(cfg.faults, |faults| faults.refuse_connections),
                 counters: Mutex::default(),
                 control,
             },
@@ -120,7 +120,7 @@
 #[derive(Debug)]
 struct Shared {
     run_time: Duration,
-    faults: server::Switch<Faults>,
+    faults: server::FaultSwitch<Faults>,
     counters: Mutex<Counters>,
     control: Arc<server::Control>,
 }
@@ -128,7 +128,7 @@
 impl Shared {
     fn handle(&self, exchange: server::Exchange) {
         match (exchange.method(), exchange.path()) {
-            ("POST", "/faults") => self.faults.post(exchange, &self.control),
+            ("POST", "/faults") => self.faults.handle_post(exchange, &self.control),
             ("POST", _) => self.call(exchange),
             ("GET", path) => {
                 let runs = sync::lock(&self.counters)
@@ -160,7 +160,7 @@
         match fault {
             Some(Fault::StallAfter) => self.stall(exchange),
             Some(Fault::HangUpAfter) => exchange.hang_up(),
-            Some(Fault::CutAfter) => exchange.respond_cut(&answer),
+            Some(Fault::CutAfter) => exchange.respond_truncated(&answer),
             _ => exchange.respond(200, &answer),
         }
     }
@@ -168,7 +168,7 @@
     fn next_fault(&self) -> Option<Fault> {
         let mut faults = self.faults.lock();
         let fault = faults.calls?;
-        server::strike(&mut faults.times).then_some(fault)
+        server::take_fault(&mut faults.times).then_some(fault)
     }
 
     fn stall(&self, exchange: server::Exchange) {
@@ -191,7 +191,7 @@
 
 fn count(counts: &mut BTreeMap<String, u32>, name: Option<&str>) {
     let Some(name) = name else { return };
-    if counts.len() < MAX_COUNTED || counts.contains_key(name) {
+    if counts.len() < MAX_COUNTED_NAMES || counts.contains_key(name) {
         *counts.entry(name.to_owned()).or_default() += 1;
     }
 }
--- a/crates/standins/src/weight_store.rs
+++ b/crates/standins/src/weight_store.rs
@@ -65,7 +65,7 @@
     server: server::Server,
 }
 
-server::controls!(WeightStore, Faults);
+server::impl_stand_in!(WeightStore, Faults);
 
 impl WeightStore {
     /// Starts a weight store.
@@ -79,7 +79,7 @@
                 free_at: Instant::now(),
                 counters: Counters::default(),
             }),
-            faults: server::Switch::new(cfg.faults, |faults| faults.refuse_connections),
+            faults: server::FaultSwitch::new(cfg.faults, |faults| faults.refuse_connections),
             cfg: cfg.clone(),
             control,
         };
@@ -105,7 +105,7 @@
 #[derive(Debug)]
 struct Shared {
     cfg: Settings,
-    faults: server::Switch<Faults>,
+    faults: server::FaultSwitch<Faults>,
     state: Mutex<State>,
     control: Arc<server::Control>,
 }
--- a/crates/standins/tests/engine.rs
+++ b/crates/standins/tests/engine.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn whole_answer_with_usage() {
+fn complete_answer_with_usage() {
     let engine = start(|_| {});
     let answer: Value = chat(engine.addr(), "a", &prompt("hello", false))
         .send()
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn stream_sends_each_token_when_it_is_made() {
+fn stream_sends_each_token_as_it_is_generated() {
     let engine = start(|cfg| cfg.token_time = Duration::from_millis(50));
     let mut body = prompt("hello", true);
     body["stream_options"] = json!({ "include_usage": true });
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn urgent_requests_leave_the_queue_first() {
+fn higher_priority_requests_leave_the_queue_first() {
     let engine = start(|cfg| {
         cfg.slots = 1;
         cfg.token_time = Duration::from_millis(40);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn caller_that_goes_away_cancels_the_run() {
+fn caller_disconnect_cancels_the_run() {
     let engine = start(|_| {});
     let mut long = prompt("hello", true);
     long["max_tokens"] = json!(10_000);
@@ -392,15 +392,15 @@
 }
 
 #[test]
-fn silent_stream_is_taken_over_by_a_resume() {
+fn stalled_stream_is_continued_by_a_resume() {
     let engine = start(|_| {});
     engine.set_faults(engine::Faults {
         stall_after_tokens: Some(3),
         times: Some(1),
         ..engine::Faults::default()
     });
-    let silent = chat(engine.addr(), "a", &prompt("x", true)).read_timeout(Duration::from_secs(1));
-    let first = events(silent.send().unwrap());
+    let stalled = chat(engine.addr(), "a", &prompt("x", true)).read_timeout(Duration::from_secs(1));
+    let first = events(stalled.send().unwrap());
     let rest = chat(engine.addr(), "a", &prompt("x", true)).header("last-event-id", "3");
     let rest = events(rest.send().unwrap());
     assert_eq!(
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -97,7 +97,7 @@
     );
     assert_eq!(swap(2, "3")["succeeded"], true);
     assert_eq!(read(kv.addr(), "a")["mod_revision"], "3");
-    let large = put("a", &"x".repeat(keyvalue::MAX_VALUE + 1));
+    let large = put("a", &"x".repeat(keyvalue::MAX_VALUE_BYTES + 1));
     assert_eq!(
         call(kv.addr(), "/v3/kv/put", &large)
             .unwrap()
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn lapsed_and_revoked_leases_take_their_entries_along() {
+fn expired_and_revoked_leases_delete_their_entries() {
     let kv = keyvalue::KeyValue::start().unwrap();
     let lease = answer(kv.addr(), "/v3/lease/grant", &json!({ "TTL": "1" }))["ID"].clone();
     let mut leased = put("a", "1");
@@ -119,8 +119,8 @@
     assert_eq!(renewed["result"]["TTL"], "1");
     assert!(read(kv.addr(), "a").is_object());
     wait(|| read(kv.addr(), "a").is_null());
-    let lapsed = answer(kv.addr(), "/v3/lease/keepalive", &json!({ "ID": lease }));
-    assert_eq!(lapsed["result"]["TTL"], "0");
+    let expired = answer(kv.addr(), "/v3/lease/keepalive", &json!({ "ID": lease }));
+    assert_eq!(expired["result"]["TTL"], "0");
     let other = answer(kv.addr(), "/v3/lease/grant", &json!({ "TTL": 60 }))["ID"].clone();
     leased["lease"] = other.clone();
     answer(kv.addr(), "/v3/kv/put", &leased);
--- a/crates/standins/tests/relay.rs
+++ b/crates/standins/tests/relay.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn bytes_pass_until_the_ends_are_cut_off_and_again_after() {
+fn bytes_pass_before_and_after_a_partition() {
     let relay = relay::Relay::start(echo()).unwrap();
     let mut socket = connect(&relay);
     assert!(echoes(&mut socket));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn forgotten_connection_stays_open_and_silent_while_new_ones_work() {
+fn blackholed_connection_stays_open_and_silent_while_new_ones_work() {
     let relay = relay::Relay::start(echo()).unwrap();
     let mut socket = connect(&relay);
     assert!(echoes(&mut socket));
--- a/crates/standins/tests/service.rs
+++ b/crates/standins/tests/service.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn faults_before_the_run_leave_it_not_run() {
+fn faults_before_the_run_prevent_it() {
     let service = service::Service::start(service::Settings::default()).unwrap();
     let before = [
         service::Fault::Refuse,
