--- a/crates/runtime/tests/actions.rs
+++ b/crates/runtime/tests/actions.rs
@@ -11,35 +11,35 @@
 use serde_json::Value;
 
 /// Two hosts, one booking service and the key-value service.
-struct Booking {
+struct BookingFleet {
     fleet: support::Fleet,
     service: service::Service,
 }
 
 /// Status, outcome and body of an answer.
 #[derive(Debug)]
-struct Told {
+struct ActionAnswer {
     status: u16,
     outcome: String,
     body: Value,
 }
 
-impl Told {
+impl ActionAnswer {
     fn code(&self) -> &str {
         self.body["error"]["code"].as_str().unwrap_or_default()
     }
 }
 
-impl Booking {
+impl BookingFleet {
     fn start(run_time: Duration) -> Self {
         let service = service::Service::start(service::Settings {
             run_time,
             ..service::Settings::default()
         });
         let service = service.expect("a service");
-        let mut fleet = support::Fleet::start(&support::Shape::default());
+        let mut fleet = support::Fleet::start(&support::FleetConfig::default());
         let addr = service.addr();
-        fleet.change(|list| {
+        fleet.update_host_list(|list| {
             list.endpoints.push(topology::Endpoint {
                 id: "ep100".parse().expect("an endpoint"),
                 domain: list.domains[0].id,
@@ -69,15 +69,15 @@
     }
 }
 
-fn book(callers: net::SocketAddr, key: uuid::Uuid, body: &str) -> Told {
+fn book(callers: net::SocketAddr, key: uuid::Uuid, body: &str) -> ActionAnswer {
     let resp = attohttpc::post(format!("http://{callers}/v1/services/bookings/offers"))
-        .header("authorization", format!("Bearer {}", support::KEY))
+        .header("authorization", format!("Bearer {}", support::API_KEY))
         .header("idempotency-key", key.to_string())
         .timeout(Duration::from_secs(20))
         .text(body.to_owned())
         .send()
         .expect("an answer");
-    Told {
+    ActionAnswer {
         status: resp.status().as_u16(),
         outcome: support::header(&resp, "x-outcome"),
         body: resp.json().unwrap_or_default(),
@@ -85,11 +85,11 @@
 }
 
 /// Asks again until the action is no longer in progress.
-fn book_until_known(callers: net::SocketAddr, key: uuid::Uuid, body: &str) -> Told {
+fn book_until_settled(callers: net::SocketAddr, key: uuid::Uuid, body: &str) -> ActionAnswer {
     loop {
-        let told = book(callers, key, body);
-        if told.code() != "in_progress" {
-            return told;
+        let answer = book(callers, key, body);
+        if answer.code() != "in_progress" {
+            return answer;
         }
         thread::sleep(Duration::from_millis(50));
     }
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_repeat_through_another_host_gets_the_recorded_answer() {
-    let booking = Booking::start(Duration::ZERO);
+    let booking = BookingFleet::start(Duration::ZERO);
     let key = uuid::Uuid::now_v7();
     let first = book(booking.callers(0), key, "teacher 7");
     assert_eq!(
@@ -105,7 +105,7 @@
         (200, "run"),
         "{first:?}"
     );
-    let repeat = book_until_known(booking.callers(1), key, "teacher 7");
+    let repeat = book_until_settled(booking.callers(1), key, "teacher 7");
     assert_eq!(repeat.status, 200);
     assert_eq!(repeat.body, first.body);
     assert_eq!(booking.runs(key), 1);
@@ -114,7 +114,7 @@
 
 #[test]
 fn the_same_key_with_another_body_is_refused() {
-    let booking = Booking::start(Duration::ZERO);
+    let booking = BookingFleet::start(Duration::ZERO);
     let key = uuid::Uuid::now_v7();
     book(booking.callers(0), key, "teacher 7");
     let other = book(booking.callers(1), key, "teacher 8");
@@ -125,8 +125,8 @@
 }
 
 #[test]
-fn a_lost_answer_of_the_service_is_read_back() {
-    let booking = Booking::start(Duration::ZERO);
+fn a_lost_answer_of_the_key_value_service_is_read_back() {
+    let booking = BookingFleet::start(Duration::ZERO);
     for faults in [
         keyvalue::Faults {
             lost_answers: 1,
@@ -141,11 +141,11 @@
         book(booking.callers(0), uuid::Uuid::now_v7(), "warm");
         booking.fleet.key_value.set_faults(faults);
         let key = uuid::Uuid::now_v7();
-        let told = book(booking.callers(0), key, "teacher 7");
+        let answer = book(booking.callers(0), key, "teacher 7");
         let runs = booking.runs(key);
         assert!(runs <= 1);
-        assert_eq!(told.outcome == "run", runs == 1, "{told:?}");
-        let repeat = book_until_known(booking.callers(1), key, "teacher 7");
+        assert_eq!(answer.outcome == "run", runs == 1, "{answer:?}");
+        let repeat = book_until_settled(booking.callers(1), key, "teacher 7");
         assert!(booking.runs(key) <= 1, "{repeat:?}");
         booking
             .fleet
@@ -157,21 +157,21 @@
 
 #[test]
 fn without_the_key_value_service_an_action_is_refused_as_not_run() {
-    let booking = Booking::start(Duration::ZERO);
+    let booking = BookingFleet::start(Duration::ZERO);
     booking.fleet.key_value.set_faults(keyvalue::Faults {
         refuse_connections: true,
         ..keyvalue::Faults::default()
     });
     let key = uuid::Uuid::now_v7();
-    let told = book(booking.callers(0), key, "teacher 7");
-    assert_eq!((told.status, told.code()), (503, "store_unavailable"));
-    assert_eq!(told.outcome, "not_run");
+    let answer = book(booking.callers(0), key, "teacher 7");
+    assert_eq!((answer.status, answer.code()), (503, "store_unavailable"));
+    assert_eq!(answer.outcome, "not_run");
     assert_eq!(booking.runs(key), 0);
     booking
         .fleet
         .key_value
         .set_faults(keyvalue::Faults::default());
-    let repeat = book_until_known(booking.callers(1), key, "teacher 7");
+    let repeat = book_until_settled(booking.callers(1), key, "teacher 7");
     assert_eq!(repeat.outcome, "run", "{repeat:?}");
     assert_eq!(booking.runs(key), 1);
     booking.close();
@@ -179,58 +179,58 @@
 
 #[test]
 fn an_action_whose_answer_was_lost_is_unknown_and_never_runs_again() {
-    let booking = Booking::start(Duration::ZERO);
+    let booking = BookingFleet::start(Duration::ZERO);
     booking.service.set_faults(service::Faults {
         calls: Some(service::Fault::HangUpAfter),
         times: Some(1),
         ..service::Faults::default()
     });
     let key = uuid::Uuid::now_v7();
-    let told = book(booking.callers(0), key, "teacher 7");
-    assert_eq!(told.outcome, "unknown", "{told:?}");
-    let repeat = book_until_known(booking.callers(1), key, "teacher 7");
+    let answer = book(booking.callers(0), key, "teacher 7");
+    assert_eq!(answer.outcome, "unknown", "{answer:?}");
+    let repeat = book_until_settled(booking.callers(1), key, "teacher 7");
     assert_eq!(repeat.code(), "action_unknown", "{repeat:?}");
     assert_eq!(booking.runs(key), 1);
     booking.close();
 }
 
 #[test]
-fn callers_that_ask_at_once_through_both_hosts_run_it_once() {
-    let booking = Booking::start(Duration::from_millis(200));
+fn concurrent_calls_with_one_key_through_both_hosts_run_once() {
+    let booking = BookingFleet::start(Duration::from_millis(200));
     let key = uuid::Uuid::now_v7();
-    let told: Vec<Told> = thread::scope(|scope| {
-        let ask = |i: usize| {
+    let answers: Vec<ActionAnswer> = thread::scope(|scope| {
+        let send = |i: usize| {
             let callers = booking.callers(i % 2);
             scope.spawn(move || book(callers, key, "teacher 7"))
         };
-        let asked: Vec<_> = (0..8).map(ask).collect();
-        asked
+        let threads: Vec<_> = (0..8).map(send).collect();
+        threads
             .into_iter()
-            .map(|told| told.join().expect("told"))
+            .map(|thread| thread.join().expect("an answer"))
             .collect()
     });
     assert_eq!(booking.runs(key), 1);
     assert!(
-        told.iter().all(|told| told.outcome != "not_run"),
-        "{told:?}"
+        answers.iter().all(|answer| answer.outcome != "not_run"),
+        "{answers:?}"
     );
     booking.close();
 }
 
 #[test]
 fn an_expired_key_is_refused() {
-    let booking = Booking::start(Duration::ZERO);
+    let booking = BookingFleet::start(Duration::ZERO);
     let long_ago = uuid::Timestamp::from_unix_time(1_600_000_000, 0, 0, 0);
     let key = uuid::Uuid::new_v7(long_ago);
-    let told = book(booking.callers(0), key, "teacher 7");
-    assert_eq!((told.status, told.code()), (410, "key_expired"));
+    let answer = book(booking.callers(0), key, "teacher 7");
+    assert_eq!((answer.status, answer.code()), (410, "key_expired"));
     assert_eq!(booking.runs(key), 0);
     booking.close();
 }
 
 #[test]
 fn a_host_that_stops_records_the_outcomes_first() {
-    let mut booking = Booking::start(Duration::ZERO);
+    let mut booking = BookingFleet::start(Duration::ZERO);
     let keys = [uuid::Uuid::now_v7(), uuid::Uuid::now_v7()];
     for (host, key) in keys.into_iter().enumerate() {
         assert_eq!(book(booking.callers(host), key, "teacher 7").status, 200);
@@ -239,7 +239,7 @@
     let owner = booking.fleet.members.remove(1);
     owner.host.close();
     for key in keys {
-        let repeat = book_until_known(booking.callers(0), key, "teacher 7");
+        let repeat = book_until_settled(booking.callers(0), key, "teacher 7");
         assert!(
             repeat.status == 200 || repeat.outcome == "not_run",
             "{repeat:?}"
--- a/crates/runtime/tests/failure_callers.rs
+++ b/crates/runtime/tests/failure_callers.rs
@@ -10,13 +10,13 @@
 use serde_json::{Value, json};
 
 /// Tokens of the stream that goes on beside each bad request.
-const LONG: u32 = 40;
+const STREAM_TOKENS: u32 = 40;
 
 /// Bound on the time until a connection that is slower than its deadlines is ended.
-const ENDED_WITHIN: Duration = Duration::from_secs(10);
+const MAX_CONNECTION_TIME: Duration = Duration::from_secs(10);
 
 fn start() -> support::Fleet {
-    support::Fleet::start(&support::Shape {
+    support::Fleet::start(&support::FleetConfig {
         hosts: 1,
         engine: engine::Settings {
             token_time: Duration::from_millis(10),
@@ -30,7 +30,7 @@
             "header_read_ms": 500,
             "body_read_ms": 600,
         } }),
-        ..support::Shape::default()
+        ..support::FleetConfig::default()
     })
 }
 
@@ -38,17 +38,17 @@
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: test\r\nconnection: close\r\n\
          authorization: Bearer {}\r\n{extra}\r\n",
-        support::KEY
+        support::API_KEY
     )
 }
 
 fn connect(callers: SocketAddr) -> TcpStream {
     let socket = TcpStream::connect(callers).expect("a connection");
     socket
-        .set_read_timeout(Some(ENDED_WITHIN))
+        .set_read_timeout(Some(MAX_CONNECTION_TIME))
         .expect("a timeout");
     socket
-        .set_write_timeout(Some(ENDED_WITHIN))
+        .set_write_timeout(Some(MAX_CONNECTION_TIME))
         .expect("a timeout");
     socket
 }
@@ -97,27 +97,27 @@
 
 /// Runs `bad` beside a stream of another caller, which has to stay whole, and checks that nothing
 /// but that stream and the chat after it ran.
-fn beside_a_stream<F>(bad: F)
+fn with_concurrent_stream<F>(send_invalid: F)
 where
     F: FnOnce(SocketAddr),
 {
     let fleet = start();
     let callers = fleet.members[0].callers;
-    let resp = support::chat(callers, &support::prompt("stream", true, LONG)).unwrap();
+    let resp = support::chat(callers, &support::chat_body("stream", true, STREAM_TOKENS)).unwrap();
     let reading = std::thread::spawn(move || support::events(resp));
-    bad(callers);
+    send_invalid(callers);
     let (events, end) = reading.join().unwrap();
     end.unwrap();
     assert_eq!(events.last().unwrap().0, "[DONE]");
-    let resp = support::chat(callers, &support::prompt("after", false, 5)).unwrap();
+    let resp = support::chat(callers, &support::chat_body("after", false, 5)).unwrap();
     assert_eq!(resp.status().as_u16(), 200);
     assert_eq!(fleet.engines[0].1.counters().runs.len(), 2);
     fleet.close();
 }
 
 #[test]
-fn garbage() {
-    beside_a_stream(|callers| {
+fn invalid_http() {
+    with_concurrent_stream(|callers| {
         let answer = send(callers, b"\x00\xff\x80 garbage\r\n\r\n");
         assert!(answer.is_empty() || refusal(&answer).0 == 400, "{answer}");
         let answer = send(callers, b"POST /v1/chat/completions HTTP/9.9\r\n\r\n");
@@ -130,7 +130,7 @@
 
 #[test]
 fn malformed_bodies() {
-    beside_a_stream(|callers| {
+    with_concurrent_stream(|callers| {
         let post = |body: &[u8]| {
             let head = head(&format!("content-length: {}\r\n", body.len()));
             send(callers, &[head.as_bytes(), body].concat())
@@ -150,7 +150,7 @@
 
 #[test]
 fn oversized_headers_and_bodies() {
-    beside_a_stream(|callers| {
+    with_concurrent_stream(|callers| {
         let long = head(&format!(
             "x-long: {}\r\ncontent-length: 2\r\n",
             "x".repeat(8_192)
@@ -175,8 +175,8 @@
 
 #[test]
 fn truncated_bodies() {
-    beside_a_stream(|callers| {
-        let body = support::prompt("cut", false, 5).to_string();
+    with_concurrent_stream(|callers| {
+        let body = support::chat_body("cut", false, 5).to_string();
         let padded = format!("{body}{}", " ".repeat(2_000));
         for (body, declared) in [(&body, body.len() + 1), (&padded, padded.len() + 1)] {
             let raw = format!("{}{body}", head(&format!("content-length: {declared}\r\n")));
@@ -195,14 +195,14 @@
 }
 
 /// Sends a byte each 100 ms until the host ends the connection.
-fn trickle(callers: SocketAddr, first: &str) -> Duration {
+fn send_slowly(callers: SocketAddr, first: &str) -> Duration {
     let begin = Instant::now();
     let mut socket = connect(callers);
     socket.write_all(first.as_bytes()).unwrap();
     socket
         .set_read_timeout(Some(Duration::from_millis(100)))
         .unwrap();
-    while begin.elapsed() < ENDED_WITHIN {
+    while begin.elapsed() < MAX_CONNECTION_TIME {
         let written = socket.write_all(b"x");
         let mut buf = [0; 1024];
         match socket.read(&mut buf) {
@@ -218,10 +218,10 @@
 
 #[test]
 fn slow_large_body() {
-    beside_a_stream(|callers| {
-        let ended = trickle(callers, &head("content-length: 60000\r\n"));
+    with_concurrent_stream(|callers| {
+        let ended = send_slowly(callers, &head("content-length: 60000\r\n"));
         assert!(
-            ended < ENDED_WITHIN,
+            ended < MAX_CONNECTION_TIME,
             "the connection is still open after {ended:?}"
         );
     });
@@ -229,7 +229,7 @@
 
 #[test]
 fn silent_connections() {
-    beside_a_stream(|callers| {
+    with_concurrent_stream(|callers| {
         let begin = Instant::now();
         let mut partial = connect(callers);
         partial.write_all(b"POST /v1/chat/comple").unwrap();
@@ -240,7 +240,7 @@
         read_all(&partial);
         read_all(&bodiless);
         assert!(
-            begin.elapsed() < ENDED_WITHIN,
+            begin.elapsed() < MAX_CONNECTION_TIME,
             "open after {:?}",
             begin.elapsed()
         );
--- a/crates/runtime/tests/failure_callers_close.rs
+++ b/crates/runtime/tests/failure_callers_close.rs
@@ -9,20 +9,20 @@
 use pistachiochute_standins::engine;
 
 /// Tokens of an answer that is larger than the buffers of its connections.
-const LONG: u32 = 1_500;
+const STREAM_TOKENS: u32 = 1_500;
 
 #[test]
 fn drained_and_closed_host_leaves_no_answer_cut() {
-    let mut fleet = support::Fleet::start(&support::Shape {
+    let mut fleet = support::Fleet::start(&support::FleetConfig {
         hosts: 1,
         engine: engine::Settings {
             token_time: Duration::ZERO,
             ..support::engine_settings()
         },
-        ..support::Shape::default()
+        ..support::FleetConfig::default()
     });
     let callers = fleet.members[0].callers;
-    let mut resp = support::chat(callers, &support::prompt("x", true, LONG)).unwrap();
+    let mut resp = support::chat(callers, &support::chat_body("x", true, STREAM_TOKENS)).unwrap();
     let reading = std::thread::spawn(move || {
         let mut answer = Vec::new();
         let mut buf = [0; 16 * 1024];
--- a/crates/runtime/tests/failure_callers_slow.rs
+++ b/crates/runtime/tests/failure_callers_slow.rs
@@ -9,29 +9,29 @@
 use serde_json::json;
 
 /// Bound on the time until a connection that is slower than its deadlines is ended.
-const ENDED_WITHIN: Duration = Duration::from_secs(8);
+const MAX_CONNECTION_TIME: Duration = Duration::from_secs(8);
 
 fn start() -> support::Fleet {
-    support::Fleet::start(&support::Shape {
+    support::Fleet::start(&support::FleetConfig {
         hosts: 1,
         settings: json!({ "bounds": {
             "header_bytes": 4_096,
             "header_read_ms": 500,
             "body_read_ms": 600,
         } }),
-        ..support::Shape::default()
+        ..support::FleetConfig::default()
     })
 }
 
 /// Sends `first`, then a byte each 100 ms until the host ends the connection.
-fn trickle(callers: SocketAddr, first: &str) -> Duration {
+fn send_slowly(callers: SocketAddr, first: &str) -> Duration {
     let begin = Instant::now();
     let mut socket = TcpStream::connect(callers).unwrap();
     socket.write_all(first.as_bytes()).unwrap();
     socket
         .set_read_timeout(Some(Duration::from_millis(100)))
         .unwrap();
-    while begin.elapsed() < ENDED_WITHIN {
+    while begin.elapsed() < MAX_CONNECTION_TIME {
         let written = socket.write_all(b"x");
         match socket.read(&mut [0; 1024]) {
             Ok(0) => break,
@@ -47,12 +47,12 @@
 #[test]
 fn slow_headers() {
     let fleet = start();
-    let ended = trickle(
+    let ended = send_slowly(
         fleet.members[0].callers,
         "GET /healthz HTTP/1.1\r\nx-slow: ",
     );
     assert!(
-        ended < ENDED_WITHIN,
+        ended < MAX_CONNECTION_TIME,
         "the connection is still open after {ended:?}"
     );
     fleet.close();
@@ -62,9 +62,9 @@
 fn slow_small_body() {
     let fleet = start();
     let head = "POST /v1/chat/completions HTTP/1.1\r\ncontent-length: 1000\r\n\r\n";
-    let ended = trickle(fleet.members[0].callers, head);
+    let ended = send_slowly(fleet.members[0].callers, head);
     assert!(
-        ended < ENDED_WITHIN,
+        ended < MAX_CONNECTION_TIME,
         "the connection is still open after {ended:?}"
     );
     fleet.close();
@@ -81,29 +81,26 @@
         .write_all(b"GET /healthz HTTP/1.1\r\nx-long: ")
         .unwrap();
     let block = [b'x'; 64 * 1024];
-    let mut taken = 0;
-    while taken < (64 << 20) && socket.write_all(&block).is_ok() {
-        taken += block.len();
+    let mut sent = 0;
+    while sent < (64 << 20) && socket.write_all(&block).is_ok() {
+        sent += block.len();
     }
-    assert!(
-        taken < (64 << 20),
-        "the host took a header of {taken} bytes"
-    );
+    assert!(sent < (64 << 20), "the host took a header of {sent} bytes");
     fleet.close();
 }
 
 #[test]
 fn too_many_connections() {
-    let fleet = support::Fleet::start(&support::Shape {
+    let fleet = support::Fleet::start(&support::FleetConfig {
         hosts: 1,
         settings: json!({ "bounds": { "connections": 4 } }),
-        ..support::Shape::default()
+        ..support::FleetConfig::default()
     });
     let callers = fleet.members[0].callers;
     let idle: Vec<_> = (0..4)
         .map(|_| TcpStream::connect(callers).unwrap())
         .collect();
-    let body = support::prompt("x", false, 5);
+    let body = support::chat_body("x", false, 5);
     let refused = support::eventually(|| {
         support::chat(callers, &body).is_ok_and(|resp| {
             resp.status().as_u16() == 503
--- a/crates/runtime/tests/failure_engine.rs
+++ b/crates/runtime/tests/failure_engine.rs
@@ -8,11 +8,11 @@
 use pistachiochute_standins::engine;
 use serde_json::{Value, json};
 
-fn shape(engines: u32) -> support::Shape {
-    support::Shape {
+fn fleet_config(engines: u32) -> support::FleetConfig {
+    support::FleetConfig {
         engines,
         settings: json!({ "timeouts": { "stall_ms": 400, "connect_ms": 500, "ping_ms": 200 } }),
-        ..support::Shape::default()
+        ..support::FleetConfig::default()
     }
 }
 
@@ -41,7 +41,7 @@
     assert!(runs.len() <= 1, "mixed answer: {tokens:?}");
 }
 
-fn faults(fleet: &support::Fleet, faults: &engine::Faults) {
+fn set_faults(fleet: &support::Fleet, faults: &engine::Faults) {
     for (_, engine) in &fleet.engines {
         engine.set_faults(faults.clone());
     }
@@ -57,11 +57,11 @@
 
 #[test]
 fn cut_stream_is_resumed_as_one_answer() {
-    let fleet = support::Fleet::start(&shape(1));
+    let fleet = support::Fleet::start(&fleet_config(1));
     for member in &fleet.members {
         for after in [1, 3, 5] {
             let before = runs(&fleet);
-            faults(
+            set_faults(
                 &fleet,
                 &engine::Faults {
                     cut_after_tokens: Some(after),
@@ -69,7 +69,7 @@
                     ..engine::Faults::default()
                 },
             );
-            let resp = support::chat(member.callers, &support::prompt("x", true, 6)).unwrap();
+            let resp = support::chat(member.callers, &support::chat_body("x", true, 6)).unwrap();
             let (events, end) = support::events(resp);
             end.unwrap();
             let tokens = tokens(&events);
@@ -83,15 +83,15 @@
 }
 
 #[test]
-fn stream_that_is_cut_again_and_again_is_whole_or_an_explicit_error() {
-    let fleet = support::Fleet::start(&shape(1));
+fn repeatedly_cut_stream_is_complete_or_ends_with_an_error() {
+    let fleet = support::Fleet::start(&fleet_config(1));
     let cut = engine::Faults {
         cut_after_tokens: Some(1),
         ..engine::Faults::default()
     };
-    faults(&fleet, &cut);
+    set_faults(&fleet, &cut);
     for member in &fleet.members {
-        let resp = support::chat(member.callers, &support::prompt("x", true, 30)).unwrap();
+        let resp = support::chat(member.callers, &support::chat_body("x", true, 30)).unwrap();
         let (events, end) = support::events(resp);
         let tokens = tokens(&events);
         assert_one_run(&tokens);
@@ -106,9 +106,9 @@
 }
 
 #[test]
-fn silent_stream_is_resumed_after_the_stall_deadline() {
-    let fleet = support::Fleet::start(&shape(1));
-    faults(
+fn stalled_stream_is_resumed_after_the_stall_deadline() {
+    let fleet = support::Fleet::start(&fleet_config(1));
+    set_faults(
         &fleet,
         &engine::Faults {
             stall_after_tokens: Some(2),
@@ -116,7 +116,7 @@
             ..engine::Faults::default()
         },
     );
-    let resp = support::chat(fleet.members[0].callers, &support::prompt("x", true, 6)).unwrap();
+    let resp = support::chat(fleet.members[0].callers, &support::chat_body("x", true, 6)).unwrap();
     let (events, end) = support::events(resp);
     end.unwrap_or_else(|e| panic!("{e}: {events:?}"));
     let tokens = tokens(&events);
@@ -129,23 +129,23 @@
 /// The engine cuts the stream and then refuses every further request before running it. That
 /// refusal is no proof that the first part did not run.
 #[test]
-fn refused_resumption_is_told_as_run() {
-    let fleet = support::Fleet::start(&shape(1));
+fn refused_resumption_is_reported_as_run() {
+    let fleet = support::Fleet::start(&fleet_config(1));
     let slow = engine::Faults {
         cut_after_tokens: Some(3),
         times: Some(1),
         slow_factor: Some(60.0),
         ..engine::Faults::default()
     };
-    faults(&fleet, &slow);
-    let resp = support::chat(fleet.members[0].callers, &support::prompt("x", true, 6)).unwrap();
+    set_faults(&fleet, &slow);
+    let resp = support::chat(fleet.members[0].callers, &support::chat_body("x", true, 6)).unwrap();
     let refuse = engine::Faults {
         status: Some(503),
         cut_after_tokens: Some(3),
         ..Default::default()
     };
     // The stream is under way; from here on the engine refuses.
-    faults(&fleet, &refuse);
+    set_faults(&fleet, &refuse);
     let (events, end) = support::events(resp);
     end.expect_err("a partial answer ends with an error");
     assert_one_run(&tokens(&events));
@@ -155,9 +155,9 @@
 }
 
 #[test]
-fn cut_whole_answer_is_never_passed_on() {
-    let fleet = support::Fleet::start(&shape(1));
-    faults(
+fn truncated_answer_is_never_passed_on() {
+    let fleet = support::Fleet::start(&fleet_config(1));
+    set_faults(
         &fleet,
         &engine::Faults {
             cut_after_tokens: Some(2),
@@ -166,7 +166,7 @@
         },
     );
     for member in &fleet.members {
-        let resp = support::chat(member.callers, &support::prompt("x", false, 5)).unwrap();
+        let resp = support::chat(member.callers, &support::chat_body("x", false, 5)).unwrap();
         if resp.status().as_u16() == 200 {
             let answer: Value = resp.json().unwrap();
             let text = answer["choices"][0]["message"]["content"].as_str().unwrap();
@@ -181,15 +181,15 @@
 }
 
 #[test]
-fn refusing_engine_is_passed_over() {
-    let fleet = support::Fleet::start(&shape(2));
+fn engine_that_refuses_connections_is_skipped() {
+    let fleet = support::Fleet::start(&fleet_config(2));
     let refuse = engine::Faults {
         refuse_connections: true,
         ..engine::Faults::default()
     };
     fleet.engines[0].1.set_faults(refuse);
     for i in 0..8 {
-        let body = support::prompt(&format!("chat {i}"), false, 5);
+        let body = support::chat_body(&format!("chat {i}"), false, 5);
         let resp = support::chat(fleet.members[0].callers, &body).unwrap();
         assert_eq!(resp.status().as_u16(), 200, "{}", resp.text().unwrap());
     }
@@ -198,15 +198,15 @@
 }
 
 #[test]
-fn no_engine_at_all_is_told_as_not_run_at_once() {
-    let fleet = support::Fleet::start(&shape(2));
+fn no_reachable_engine_is_reported_as_not_run_at_once() {
+    let fleet = support::Fleet::start(&fleet_config(2));
     let refuse = engine::Faults {
         refuse_connections: true,
         ..engine::Faults::default()
     };
-    faults(&fleet, &refuse);
+    set_faults(&fleet, &refuse);
     let begin = std::time::Instant::now();
-    let body = support::prompt("x", false, 5);
+    let body = support::chat_body("x", false, 5);
     let resp = support::chat(fleet.members[0].callers, &body).unwrap();
     assert_eq!(resp.status().as_u16(), 503);
     assert_eq!(support::header(&resp, "x-outcome"), "not_run");
@@ -217,16 +217,16 @@
 }
 
 #[test]
-fn stalled_engine_before_the_answer_is_not_told_as_not_run() {
-    let fleet = support::Fleet::start(&shape(1));
-    faults(
+fn stall_before_the_answer_is_not_reported_as_not_run() {
+    let fleet = support::Fleet::start(&fleet_config(1));
+    set_faults(
         &fleet,
         &engine::Faults {
             stall: true,
             ..engine::Faults::default()
         },
     );
-    let body = support::prompt("x", false, 5);
+    let body = support::chat_body("x", false, 5);
     let resp = support::chat(fleet.members[0].callers, &body).unwrap();
     assert!(resp.status().is_server_error());
     assert_eq!(support::header(&resp, "x-outcome"), "unknown");
@@ -235,10 +235,10 @@
 
 #[test]
 fn caller_that_goes_away_cancels_at_the_engine() {
-    let fleet = support::Fleet::start(&shape(1));
+    let fleet = support::Fleet::start(&fleet_config(1));
     for member in &fleet.members {
         let before = fleet.engines[0].1.counters().cancels;
-        let resp = support::chat(member.callers, &support::prompt("x", true, 4000)).unwrap();
+        let resp = support::chat(member.callers, &support::chat_body("x", true, 4000)).unwrap();
         drop(resp);
         let cancelled = || fleet.engines[0].1.counters().cancels > before;
         assert!(support::eventually(cancelled));
--- a/crates/runtime/tests/failure_hosts.rs
+++ b/crates/runtime/tests/failure_hosts.rs
@@ -11,13 +11,13 @@
 use serde_json::{Value, json};
 
 /// Tokens of a stream that is under way while hosts fail.
-const LONG: u32 = 60;
+const STREAM_TOKENS: u32 = 60;
 
 /// Bound on the time until a caller learns that its host is gone; its own timeout is longer.
-const TOLD_AT_ONCE: Duration = Duration::from_secs(10);
+const FAILURE_REPORT_TIMEOUT: Duration = Duration::from_secs(10);
 
-fn shape(domains: u32, hosts: u32, engines: u32) -> support::Shape {
-    support::Shape {
+fn fleet_config(domains: u32, hosts: u32, engines: u32) -> support::FleetConfig {
+    support::FleetConfig {
         domains,
         hosts,
         engines,
@@ -33,14 +33,14 @@
 
 /// A fleet whose links between hosts run through relays, one for each pair of a failure domain
 /// that sends and a host that receives.
-struct Relayed {
+struct RelayedFleet {
     fleet: support::Fleet,
     relays: BTreeMap<(entity::DomainId, entity::HostId), relay::Relay>,
 }
 
-impl Relayed {
-    fn start(shape: &support::Shape) -> Self {
-        let fleet = support::Fleet::start(shape);
+impl RelayedFleet {
+    fn start(config: &support::FleetConfig) -> Self {
+        let fleet = support::Fleet::start(config);
         let mut relays = BTreeMap::new();
         for domain in &fleet.list.domains {
             for host in &fleet.list.hosts {
@@ -48,13 +48,13 @@
                 relays.insert((domain.id, host.id), relay);
             }
         }
-        let mut relayed = Self { fleet, relays };
-        relayed.announce();
-        relayed
+        let mut fleet = Self { fleet, relays };
+        fleet.publish_host_list();
+        fleet
     }
 
     /// Gives each host the host list with the relays of its failure domain.
-    fn announce(&mut self) {
+    fn publish_host_list(&mut self) {
         self.fleet.list.version += 1;
         for member in &self.fleet.members {
             let domain = self.domain(member.id);
@@ -90,7 +90,7 @@
     fn kill(&mut self, index: usize) {
         let member = self.fleet.members.remove(index);
         self.fleet.list.hosts.retain(|entry| entry.id != member.id);
-        self.announce();
+        self.publish_host_list();
         for ((_, host), relay) in &self.relays {
             if *host == member.id {
                 relay.partition();
@@ -99,7 +99,7 @@
         member.host.close();
     }
 
-    fn between_domains<F>(&self, change: F)
+    fn for_links_between_domains<F>(&self, change: F)
     where
         F: Fn(&relay::Relay),
     {
@@ -140,12 +140,12 @@
 }
 
 /// Checks that a stream is whole, or ends with an explicit error that says that it ran.
-fn assert_whole_or_error(events: &Events, end: std::io::Result<()>) -> bool {
+fn assert_complete_or_error(events: &Events, end: std::io::Result<()>) -> bool {
     let count = tokens_of_one_run(events);
     let done = events.last().is_some_and(|(data, _)| data == "[DONE]");
     if done {
         end.expect("a whole answer ends well");
-        assert_eq!(count, LONG);
+        assert_eq!(count, STREAM_TOKENS);
     } else {
         end.expect_err("a partial answer ends with an error");
     }
@@ -154,17 +154,17 @@
 
 #[test]
 fn owner_killed_mid_stream() {
-    let mut fleet = Relayed::start(&shape(1, 3, 1));
+    let mut fleet = RelayedFleet::start(&fleet_config(1, 3, 1));
     let owner = fleet.owner();
     let entry = (owner + 1) % 3;
     let callers = fleet.fleet.members[entry].callers;
-    let resp = support::chat(callers, &support::prompt("x", true, LONG)).unwrap();
+    let resp = support::chat(callers, &support::chat_body("x", true, STREAM_TOKENS)).unwrap();
     let reading = std::thread::spawn(move || support::events(resp));
     std::thread::sleep(Duration::from_millis(150));
     fleet.kill(owner);
     let (events, end) = reading.join().unwrap();
     assert!(
-        assert_whole_or_error(&events, end),
+        assert_complete_or_error(&events, end),
         "not resumed by the next owner: {events:?}"
     );
     assert_eq!(
@@ -177,7 +177,7 @@
         1
     );
     for member in &fleet.fleet.members {
-        let resp = support::chat(member.callers, &support::prompt("y", false, 5)).unwrap();
+        let resp = support::chat(member.callers, &support::chat_body("y", false, 5)).unwrap();
         assert_eq!(resp.status().as_u16(), 200);
     }
     fleet.close();
@@ -185,14 +185,14 @@
 
 #[test]
 fn owner_killed_with_requests_queued() {
-    let mut shape = shape(1, 3, 1);
-    shape.engine.slots = 1;
-    let mut fleet = Relayed::start(&shape);
+    let mut config = fleet_config(1, 3, 1);
+    config.engine.slots = 1;
+    let mut fleet = RelayedFleet::start(&config);
     let owner = fleet.owner();
     let entry = (owner + 1) % 3;
     let callers = fleet.fleet.members[entry].callers;
     let ask = move |i: u32| {
-        let body = support::prompt(&format!("chat {i}"), false, 20);
+        let body = support::chat_body(&format!("chat {i}"), false, 20);
         let resp = support::chat(callers, &body).unwrap();
         let status = resp.status().as_u16();
         let outcome = support::header(&resp, "x-outcome");
@@ -222,41 +222,41 @@
 
 #[test]
 fn entry_killed_mid_request() {
-    let mut fleet = Relayed::start(&shape(1, 3, 1));
+    let mut fleet = RelayedFleet::start(&fleet_config(1, 3, 1));
     let entry = (fleet.owner() + 1) % 3;
     let callers = fleet.fleet.members[entry].callers;
-    let resp = support::chat(callers, &support::prompt("x", true, LONG)).unwrap();
+    let resp = support::chat(callers, &support::chat_body("x", true, STREAM_TOKENS)).unwrap();
     let reading = std::thread::spawn(move || support::events(resp));
     std::thread::sleep(Duration::from_millis(150));
     let begin = std::time::Instant::now();
     fleet.kill(entry);
     let (events, end) = reading.join().unwrap();
     assert!(
-        begin.elapsed() < TOLD_AT_ONCE,
+        begin.elapsed() < FAILURE_REPORT_TIMEOUT,
         "the caller waited {:?}",
         begin.elapsed()
     );
-    assert!(!assert_whole_or_error(&events, end));
+    assert!(!assert_complete_or_error(&events, end));
     let cancelled = || fleet.fleet.engines[0].1.counters().cancels > 0;
     assert!(
         support::eventually(cancelled),
         "the engine goes on for nobody"
     );
-    assert!(fleet.fleet.engines[0].1.counters().tokens < u64::from(LONG));
+    assert!(fleet.fleet.engines[0].1.counters().tokens < u64::from(STREAM_TOKENS));
     for member in &fleet.fleet.members {
-        let resp = support::chat(member.callers, &support::prompt("y", false, 5)).unwrap();
+        let resp = support::chat(member.callers, &support::chat_body("y", false, 5)).unwrap();
         assert_eq!(resp.status().as_u16(), 200);
     }
     fleet.close();
 }
 
 #[test]
-fn domain_cut_off_and_rejoined() {
-    let fleet = Relayed::start(&shape(2, 2, 1));
+fn domain_partitioned_and_rejoined() {
+    let fleet = RelayedFleet::start(&fleet_config(2, 2, 1));
     let all_answer = |when: &str| {
         for member in &fleet.fleet.members {
             for i in 0..6 {
-                let body = support::prompt(&format!("{when} {i}"), false, 2);
+                let body = support::chat_body(&format!("{when} {i}"), false, 2);
                 let resp = support::chat(member.callers, &body).unwrap();
                 let status = resp.status().as_u16();
                 assert_eq!(
@@ -286,7 +286,7 @@
         between.map(|(_, relay)| relay.bytes()).sum()
     };
     assert!(crossed() > 0, "no chat went to the other domain");
-    fleet.between_domains(relay::Relay::partition);
+    fleet.for_links_between_domains(relay::Relay::partition);
     let before = (crossed(), tokens());
     all_answer("cut off");
     assert_eq!(crossed(), before.0);
@@ -294,7 +294,7 @@
         tokens().iter().zip(&before.1).all(|(now, then)| now > then),
         "a domain stood still"
     );
-    fleet.between_domains(relay::Relay::heal);
+    fleet.for_links_between_domains(relay::Relay::heal);
     let healed = || {
         all_answer("rejoined");
         crossed() > before.0
@@ -307,17 +307,17 @@
 }
 
 #[test]
-fn stream_through_a_link_that_goes_silent_is_resumed_on_a_fresh_connection() {
-    let fleet = Relayed::start(&shape(1, 2, 1));
+fn stream_over_a_stalled_link_is_resumed_on_a_new_connection() {
+    let fleet = RelayedFleet::start(&fleet_config(1, 2, 1));
     let owner = fleet.owner();
     let callers = fleet.fleet.members[1 - owner].callers;
-    let resp = support::chat(callers, &support::prompt("x", true, LONG)).unwrap();
+    let resp = support::chat(callers, &support::chat_body("x", true, STREAM_TOKENS)).unwrap();
     let reading = std::thread::spawn(move || support::events(resp));
     std::thread::sleep(Duration::from_millis(150));
     fleet.relays.values().for_each(relay::Relay::blackhole);
     let (events, end) = reading.join().unwrap();
     assert!(
-        assert_whole_or_error(&events, end),
+        assert_complete_or_error(&events, end),
         "not resumed: {events:?}"
     );
     assert_eq!(
@@ -329,7 +329,7 @@
             .sum::<u32>(),
         1
     );
-    let resp = support::chat(callers, &support::prompt("y", false, 5)).unwrap();
+    let resp = support::chat(callers, &support::chat_body("y", false, 5)).unwrap();
     assert_eq!(resp.status().as_u16(), 200);
     fleet.close();
 }
--- a/crates/runtime/tests/failure_service.rs
+++ b/crates/runtime/tests/failure_service.rs
@@ -10,24 +10,24 @@
 use pistachiochute_standins::service;
 use serde_json::{Value, json};
 
-struct Bookings {
+struct BookingFleet {
     fleet: support::Fleet,
     replicas: Vec<service::Service>,
 }
 
-impl Bookings {
+impl BookingFleet {
     /// Two hosts before two replicas of the service.
     fn start() -> Self {
-        let shape = support::Shape {
+        let config = support::FleetConfig {
             settings: json!({
                 "timeouts": { "stall_ms": 400, "connect_ms": 300, "ping_ms": 200 },
             }),
-            ..support::Shape::default()
+            ..support::FleetConfig::default()
         };
-        let mut fleet = support::Fleet::start(&shape);
+        let mut fleet = support::Fleet::start(&config);
         let start = |_| service::Service::start(service::Settings::default()).expect("a service");
         let replicas: Vec<_> = (0..2).map(start).collect();
-        fleet.change(|list| {
+        fleet.update_host_list(|list| {
             for (i, replica) in replicas.iter().enumerate() {
                 list.endpoints.push(topology::Endpoint {
                     id: format!("ep{}", 100 + i).parse().expect("an endpoint"),
@@ -44,14 +44,14 @@
         Self { fleet, replicas }
     }
 
-    fn set(&self, faults: &service::Faults) {
+    fn set_faults(&self, faults: &service::Faults) {
         for replica in &self.replicas {
             replica.set_faults(faults.clone());
         }
     }
 
-    fn fail(&self, fault: service::Fault) {
-        self.set(&service::Faults {
+    fn set_call_fault(&self, fault: service::Fault) {
+        self.set_faults(&service::Faults {
             calls: Some(fault),
             ..service::Faults::default()
         });
@@ -77,7 +77,7 @@
 /// Status, outcome and body of a call without a key.
 fn call(callers: SocketAddr, path: &str) -> (u16, String, Value) {
     let resp = attohttpc::post(format!("http://{callers}/v1/services/bookings{path}"))
-        .header("authorization", format!("Bearer {}", support::KEY))
+        .header("authorization", format!("Bearer {}", support::API_KEY))
         .timeout(Duration::from_secs(20))
         .text("{}")
         .send()
@@ -88,12 +88,12 @@
 }
 
 /// Checks a call that failed: what was told agrees with how often it ran.
-fn assert_told_truly(bookings: &Bookings, path: &str, told: &(u16, String, Value)) {
+fn assert_outcome_matches_runs(bookings: &BookingFleet, path: &str, answer: &(u16, String, Value)) {
     let runs = bookings.runs(path);
-    assert!(runs <= 1, "{path} ran {runs} times: {told:?}");
-    match told.1.as_str() {
-        "not_run" => assert_eq!(runs, 0, "{path}: {told:?}"),
-        "run" => assert_eq!(runs, 1, "{path}: {told:?}"),
+    assert!(runs <= 1, "{path} ran {runs} times: {answer:?}");
+    match answer.1.as_str() {
+        "not_run" => assert_eq!(runs, 0, "{path}: {answer:?}"),
+        "run" => assert_eq!(runs, 1, "{path}: {answer:?}"),
         "unknown" => {}
         other => panic!("{path}: outcome {other:?}"),
     }
@@ -101,56 +101,56 @@
 
 #[test]
 fn calls_run_once_at_any_host() {
-    let bookings = Bookings::start();
+    let bookings = BookingFleet::start();
     for index in 0..2 {
         let path = format!("/ok{index}");
-        let told = call(bookings.callers(index), &path);
-        assert_eq!((told.0, told.1.as_str()), (200, "run"), "{told:?}");
+        let answer = call(bookings.callers(index), &path);
+        assert_eq!((answer.0, answer.1.as_str()), (200, "run"), "{answer:?}");
         assert_eq!(bookings.runs(&path), 1);
     }
     bookings.close();
 }
 
 #[test]
-fn lost_answers_are_never_sent_again() {
-    let bookings = Bookings::start();
+fn calls_with_lost_answers_are_never_repeated() {
+    let bookings = BookingFleet::start();
     let after = [
         service::Fault::HangUpAfter,
         service::Fault::CutAfter,
         service::Fault::StallAfter,
     ];
     for (i, fault) in after.into_iter().enumerate() {
-        bookings.fail(fault);
+        bookings.set_call_fault(fault);
         for index in 0..2 {
             let path = format!("/after{i}{index}");
-            let told = call(bookings.callers(index), &path);
-            assert!(told.0 >= 500, "{fault:?}: {told:?}");
-            assert_told_truly(&bookings, &path, &told);
+            let answer = call(bookings.callers(index), &path);
+            assert!(answer.0 >= 500, "{fault:?}: {answer:?}");
+            assert_outcome_matches_runs(&bookings, &path, &answer);
             assert_eq!(bookings.runs(&path), 1, "{fault:?}");
-            assert_ne!(told.1, "not_run", "{fault:?}");
+            assert_ne!(answer.1, "not_run", "{fault:?}");
         }
     }
     bookings.close();
 }
 
 #[test]
-fn connections_lost_before_the_run_are_not_taken_for_proof() {
-    let bookings = Bookings::start();
+fn connection_loss_before_the_run_is_reported_as_unknown() {
+    let bookings = BookingFleet::start();
     let before = [service::Fault::HangUpBefore, service::Fault::StallBefore];
     for (i, fault) in before.into_iter().enumerate() {
-        bookings.fail(fault);
+        bookings.set_call_fault(fault);
         let path = format!("/before{i}");
-        let told = call(bookings.callers(i), &path);
-        assert!(told.0 >= 500, "{fault:?}: {told:?}");
-        assert_eq!(told.1, "unknown", "{fault:?}: {told:?}");
+        let answer = call(bookings.callers(i), &path);
+        assert!(answer.0 >= 500, "{fault:?}: {answer:?}");
+        assert_eq!(answer.1, "unknown", "{fault:?}: {answer:?}");
         assert_eq!(bookings.runs(&path), 0, "{fault:?}");
     }
     bookings.close();
 }
 
 #[test]
-fn proof_that_it_did_not_run_allows_another_replica() {
-    let bookings = Bookings::start();
+fn refused_calls_are_retried_at_another_replica() {
+    let bookings = BookingFleet::start();
     let refuse = service::Faults {
         calls: Some(service::Fault::Refuse),
         ..Default::default()
@@ -158,8 +158,8 @@
     bookings.replicas[0].set_faults(refuse);
     for i in 0..4 {
         let path = format!("/busy{i}");
-        let told = call(bookings.callers(i % 2), &path);
-        assert_eq!(told.0, 200, "{told:?}");
+        let answer = call(bookings.callers(i % 2), &path);
+        assert_eq!(answer.0, 200, "{answer:?}");
         assert_eq!(bookings.runs(&path), 1);
     }
     let down = service::Faults {
@@ -169,27 +169,35 @@
     bookings.replicas[0].set_faults(down);
     for i in 0..4 {
         let path = format!("/down{i}");
-        let told = call(bookings.callers(i % 2), &path);
-        assert_eq!(told.0, 200, "{told:?}");
+        let answer = call(bookings.callers(i % 2), &path);
+        assert_eq!(answer.0, 200, "{answer:?}");
         assert_eq!(bookings.runs(&path), 1);
     }
     bookings.close();
 }
 
 #[test]
-fn refusal_by_every_replica_is_told_as_not_run_at_once() {
-    let bookings = Bookings::start();
-    bookings.fail(service::Fault::Refuse);
+fn refusal_by_every_replica_is_reported_as_not_run_at_once() {
+    let bookings = BookingFleet::start();
+    bookings.set_call_fault(service::Fault::Refuse);
     let begin = std::time::Instant::now();
-    let told = call(bookings.callers(0), "/refused");
-    assert_eq!((told.0, told.1.as_str()), (503, "not_run"), "{told:?}");
-    assert_told_truly(&bookings, "/refused", &told);
+    let answer = call(bookings.callers(0), "/refused");
+    assert_eq!(
+        (answer.0, answer.1.as_str()),
+        (503, "not_run"),
+        "{answer:?}"
+    );
+    assert_outcome_matches_runs(&bookings, "/refused", &answer);
     assert!(begin.elapsed() < Duration::from_secs(10));
-    bookings.set(&service::Faults {
+    bookings.set_faults(&service::Faults {
         refuse_connections: true,
         ..Default::default()
     });
-    let told = call(bookings.callers(1), "/down");
-    assert_eq!((told.0, told.1.as_str()), (503, "not_run"), "{told:?}");
+    let answer = call(bookings.callers(1), "/down");
+    assert_eq!(
+        (answer.0, answer.1.as_str()),
+        (503, "not_run"),
+        "{answer:?}"
+    );
     bookings.close();
 }
--- a/crates/runtime/tests/failure_service_stream.rs
+++ b/crates/runtime/tests/failure_service_stream.rs
@@ -33,11 +33,11 @@
 
 #[test]
 fn a_cut_stream_of_a_service_is_not_sent_again() {
-    let mut fleet = support::Fleet::start(&support::Shape::default());
+    let mut fleet = support::Fleet::start(&support::FleetConfig::default());
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let addr = listener.local_addr().unwrap();
     let runs = cut_streams(listener);
-    fleet.change(|list| {
+    fleet.update_host_list(|list| {
         list.endpoints.push(topology::Endpoint {
             id: "ep100".parse().unwrap(),
             domain: list.domains[0].id,
@@ -55,7 +55,7 @@
             "http://{}/v1/services/bookings/book",
             member.callers
         ))
-        .header("authorization", format!("Bearer {}", support::KEY))
+        .header("authorization", format!("Bearer {}", support::API_KEY))
         .text("teacher 7")
         .send()
         .unwrap();
--- a/crates/runtime/tests/lists.rs
+++ b/crates/runtime/tests/lists.rs
@@ -76,12 +76,12 @@
 
 #[test]
 fn an_edit_is_in_force_on_every_host_and_in_the_history() {
-    let shape = support::Shape {
+    let config = support::FleetConfig {
         domains: 2,
         hosts: 3,
-        ..support::Shape::default()
+        ..support::FleetConfig::default()
     };
-    let fleet = support::Fleet::start(&shape);
+    let fleet = support::Fleet::start(&config);
     let admin = Admin::of(&fleet, 0);
     let (status, answer) = admin.add_plan("gold", 5);
     assert_eq!(status, 200, "{answer}");
@@ -99,14 +99,14 @@
     assert!(support::eventually(all), "{}", admin.get("/v1/status"));
     let history = admin.get("/v1/history");
     assert_eq!(history["edits"][0]["author"]["operator"], "ana");
-    let whole = Admin::of(&fleet, 5).get("/v1/lists");
-    assert_eq!(whole["plans"]["gold"]["entry"]["requests_per_minute"], 5);
+    let lists = Admin::of(&fleet, 5).get("/v1/lists");
+    assert_eq!(lists["plans"]["gold"]["entry"]["requests_per_minute"], 5);
     fleet.close();
 }
 
 #[test]
 fn racing_operators_get_a_conflict_that_shows_both_versions() {
-    let fleet = support::Fleet::start(&support::Shape::default());
+    let fleet = support::Fleet::start(&support::FleetConfig::default());
     let (a, b) = (Admin::of(&fleet, 0), Admin::of(&fleet, 1));
     let seen = a.get("/v1/lists/plans/basic")["revision"]
         .as_str()
@@ -125,24 +125,24 @@
 
 #[test]
 fn an_operator_edits_only_what_its_credential_allows() {
-    let fleet = support::Fleet::start(&support::Shape::default());
-    let narrow = Admin {
-        credential: support::NARROW_OPERATOR,
+    let fleet = support::Fleet::start(&support::FleetConfig::default());
+    let restricted = Admin {
+        credential: support::RESTRICTED_OPERATOR,
         ..Admin::of(&fleet, 0)
     };
-    let (status, answer) = narrow.add_plan("gold", 5);
+    let (status, answer) = restricted.add_plan("gold", 5);
     assert_eq!(status, 403, "{answer}");
-    let stranger = Admin {
+    let unknown = Admin {
         credential: "nobody",
         ..Admin::of(&fleet, 0)
     };
-    assert_eq!(stranger.send("GET", "/v1/lists", &[], &Value::Null).0, 401);
+    assert_eq!(unknown.send("GET", "/v1/lists", &[], &Value::Null).0, 401);
     fleet.close();
 }
 
 #[test]
 fn every_finding_of_an_edit_is_reported() {
-    let fleet = support::Fleet::start(&support::Shape::default());
+    let fleet = support::Fleet::start(&support::FleetConfig::default());
     let admin = Admin::of(&fleet, 0);
     let revision = admin.get("/v1/lists")["revision"]
         .as_str()
@@ -164,7 +164,7 @@
 
 #[test]
 fn an_edit_whose_answer_was_lost_is_resolved() {
-    let fleet = support::Fleet::start(&support::Shape::default());
+    let fleet = support::Fleet::start(&support::FleetConfig::default());
     let admin = Admin::of(&fleet, 0);
     fleet.key_value.set_faults(keyvalue::Faults {
         lost_answers: 1,
@@ -188,7 +188,7 @@
 
 #[test]
 fn an_edit_during_an_outage_is_not_recorded_and_serving_goes_on() {
-    let fleet = support::Fleet::start(&support::Shape::default());
+    let fleet = support::Fleet::start(&support::FleetConfig::default());
     let admin = Admin::of(&fleet, 0);
     fleet.key_value.set_faults(keyvalue::Faults {
         down: true,
@@ -199,7 +199,7 @@
     assert_eq!(answer["error"]["state"], "not_recorded", "{answer}");
     let resp = support::chat(
         fleet.members[1].callers,
-        &support::prompt("hello", false, 3),
+        &support::chat_body("hello", false, 3),
     );
     assert_eq!(resp.unwrap().status().as_u16(), 200);
     fleet.key_value.set_faults(keyvalue::Faults::default());
@@ -210,9 +210,9 @@
 
 #[test]
 fn a_host_that_starts_without_the_store_takes_the_lists_from_a_peer() {
-    let mut fleet = support::Fleet::start(&support::Shape {
+    let mut fleet = support::Fleet::start(&support::FleetConfig {
         hosts: 3,
-        ..support::Shape::default()
+        ..support::FleetConfig::default()
     });
     fleet.key_value.set_faults(keyvalue::Faults {
         down: true,
@@ -222,7 +222,7 @@
     assert!(support::eventually(|| fleet.ready()));
     let resp = support::chat(
         fleet.members[2].callers,
-        &support::prompt("hello", false, 3),
+        &support::chat_body("hello", false, 3),
     );
     assert_eq!(resp.unwrap().status().as_u16(), 200);
     fleet.close();
@@ -230,7 +230,7 @@
 
 #[test]
 fn a_restored_store_does_not_revert_the_lists() {
-    let fleet = support::Fleet::start(&support::Shape::default());
+    let fleet = support::Fleet::start(&support::FleetConfig::default());
     let admin = Admin::of(&fleet, 0);
     let old = fleet.key_value.snapshot();
     let (status, answer) = admin.add_plan("gold", 5);
--- a/crates/runtime/tests/membership.rs
+++ b/crates/runtime/tests/membership.rs
@@ -7,31 +7,31 @@
 use pistachiochute_core::topology;
 use pistachiochute_standins::engine;
 
-fn shape() -> support::Shape {
-    support::Shape {
+fn fleet_config() -> support::FleetConfig {
+    support::FleetConfig {
         hosts: 3,
         engines: 4,
-        ..support::Shape::default()
+        ..support::FleetConfig::default()
     }
 }
 
 /// Chats of different names through one host, and how many were answered whole.
-fn answered(callers: std::net::SocketAddr, chats: usize) -> usize {
-    let whole = |i: &usize| {
-        let body = support::prompt(&format!("chat {i}"), false, 2);
+fn count_answered(callers: std::net::SocketAddr, chats: usize) -> usize {
+    let is_complete = |i: &usize| {
+        let body = support::chat_body(&format!("chat {i}"), false, 2);
         support::chat(callers, &body).is_ok_and(|resp| resp.status().as_u16() == 200)
     };
-    (0..chats).filter(whole).count()
+    (0..chats).filter(is_complete).count()
 }
 
 #[test]
-fn endpoints_of_a_dead_host_go_to_the_others() {
-    let mut fleet = support::Fleet::start(&shape());
-    let dead = fleet.members.remove(0);
-    dead.host.close();
+fn endpoints_of_a_stopped_host_move_to_other_hosts() {
+    let mut fleet = support::Fleet::start(&fleet_config());
+    let stopped = fleet.members.remove(0);
+    stopped.host.close();
     // Attempts at the dead owner fail to connect, which proves that nothing ran, and the next
     // candidate takes the request.
-    assert_eq!(answered(fleet.members[0].callers, 16), 16);
+    assert_eq!(count_answered(fleet.members[0].callers, 16), 16);
     let owned = || {
         let status = fleet
             .members
@@ -40,14 +40,14 @@
         status.map(|status| status.open_endpoints).sum::<usize>()
     };
     assert!(support::eventually(|| owned() == 4), "{}", owned());
-    assert_eq!(answered(fleet.members[1].callers, 16), 16);
+    assert_eq!(count_answered(fleet.members[1].callers, 16), 16);
     fleet.close();
 }
 
 #[test]
-fn a_host_that_drains_hands_its_endpoints_over() {
-    let fleet = support::Fleet::start(&shape());
-    assert_eq!(answered(fleet.members[1].callers, 4), 4);
+fn a_draining_host_hands_over_its_endpoints() {
+    let fleet = support::Fleet::start(&fleet_config());
+    assert_eq!(count_answered(fleet.members[1].callers, 4), 4);
     assert_eq!(
         fleet.members[0].host.drain(),
         pistachiochute_runtime::host::DrainResult::Complete
@@ -62,25 +62,25 @@
     };
     assert_eq!(owned(0), 0);
     assert!(support::eventually(|| owned(1) + owned(2) == 4));
-    assert_eq!(answered(fleet.members[1].callers, 16), 16);
+    assert_eq!(count_answered(fleet.members[1].callers, 16), 16);
     fleet.close();
 }
 
 #[test]
 fn a_leaving_endpoint_finishes_its_streams_and_gets_no_new_work() {
-    let shape = support::Shape {
+    let config = support::FleetConfig {
         engine: engine::Settings {
             token_time: Duration::from_millis(30),
             ..support::engine_settings()
         },
         engines: 2,
-        ..shape()
+        ..fleet_config()
     };
-    let mut fleet = support::Fleet::start(&shape);
+    let mut fleet = support::Fleet::start(&config);
     let callers = fleet.members[0].callers;
     let streams: Vec<_> = (0..4)
         .map(|i| {
-            let body = support::prompt(&format!("chat {i}"), true, 20);
+            let body = support::chat_body(&format!("chat {i}"), true, 20);
             std::thread::spawn(move || support::events(support::chat(callers, &body).unwrap()))
         })
         .collect();
@@ -88,18 +88,18 @@
     assert!(support::eventually(
         || runs(&fleet, 0) + runs(&fleet, 1) == 4
     ));
-    fleet.change(|list| list.endpoints[0].presence = topology::Presence::Leaving);
-    let told = |member: &support::Member| {
+    fleet.update_host_list(|list| list.endpoints[0].presence = topology::Presence::Leaving);
+    let has_update = |member: &support::Member| {
         member
             .host
             .control()
             .status()
             .is_some_and(|status| status.host_list == 2)
     };
-    assert!(support::eventually(|| fleet.members.iter().all(told)));
+    assert!(support::eventually(|| fleet.members.iter().all(has_update)));
     let before = runs(&fleet, 0);
     for member in &fleet.members {
-        assert_eq!(answered(member.callers, 8), 8);
+        assert_eq!(count_answered(member.callers, 8), 8);
     }
     assert_eq!(runs(&fleet, 0), before, "no new work");
     for stream in streams {
--- a/crates/runtime/tests/path.rs
+++ b/crates/runtime/tests/path.rs
@@ -7,10 +7,10 @@
 use serde_json::Value;
 
 #[test]
-fn chats_are_answered_whole_through_any_host() {
-    let fleet = support::Fleet::start(&support::Shape::default());
+fn chats_are_answered_completely_through_any_host() {
+    let fleet = support::Fleet::start(&support::FleetConfig::default());
     for member in &fleet.members {
-        let resp = support::chat(member.callers, &support::prompt("hello", false, 5)).unwrap();
+        let resp = support::chat(member.callers, &support::chat_body("hello", false, 5)).unwrap();
         assert_eq!(resp.status().as_u16(), 200);
         assert_eq!(support::header(&resp, "x-outcome"), "run");
         assert!(support::header(&resp, "x-request-id").starts_with("req-"));
@@ -22,22 +22,22 @@
 
 #[test]
 fn tokens_arrive_one_by_one_over_two_hosts() {
-    let shape = support::Shape {
+    let config = support::FleetConfig {
         engine: pistachiochute_standins::engine::Settings {
             token_time: Duration::from_millis(40),
             ..support::engine_settings()
         },
-        ..support::Shape::default()
+        ..support::FleetConfig::default()
     };
-    let fleet = support::Fleet::start(&shape);
+    let fleet = support::Fleet::start(&config);
     for member in &fleet.members {
-        let resp = support::chat(member.callers, &support::prompt("hello", true, 6)).unwrap();
+        let resp = support::chat(member.callers, &support::chat_body("hello", true, 6)).unwrap();
         assert!(support::header(&resp, "content-type").starts_with("text/event-stream"));
         let (events, end) = support::events(resp);
         end.unwrap();
         assert_eq!(events.last().map(|(data, _)| data.as_str()), Some("[DONE]"));
-        let made = fleet.engines[0].1.counters().tokens;
-        assert!(made >= 6);
+        let generated = fleet.engines[0].1.counters().tokens;
+        assert!(generated >= 6);
         // The first token was read before the last could be made.
         let span = events[events.len() - 1].1 - events[0].1;
         assert!(span >= Duration::from_millis(120), "{span:?}");
@@ -47,9 +47,9 @@
 
 #[test]
 fn refusals_state_reason_and_outcome() {
-    let fleet = support::Fleet::start(&support::Shape::default());
+    let fleet = support::Fleet::start(&support::FleetConfig::default());
     let callers = fleet.members[0].callers;
-    let mut body = support::prompt("hello", false, 5);
+    let mut body = support::chat_body("hello", false, 5);
     body["model"] = "m2".into();
     let resp = support::chat(callers, &body).unwrap();
     assert_eq!(resp.status().as_u16(), 403);
@@ -60,13 +60,13 @@
 
     let resp = attohttpc::post(format!("http://{callers}/v1/chat/completions"))
         .header("authorization", "Bearer wrong")
-        .json(&support::prompt("hello", false, 5))
+        .json(&support::chat_body("hello", false, 5))
         .unwrap()
         .send()
         .unwrap();
     assert_eq!(resp.status().as_u16(), 401);
     let resp = attohttpc::get(format!("http://{callers}/nowhere"))
-        .header("authorization", format!("Bearer {}", support::KEY))
+        .header("authorization", format!("Bearer {}", support::API_KEY))
         .send()
         .unwrap();
     assert_eq!(resp.status().as_u16(), 404);
@@ -76,24 +76,24 @@
 
 #[test]
 fn a_draining_host_finishes_its_streams() {
-    let shape = support::Shape {
+    let config = support::FleetConfig {
         engine: pistachiochute_standins::engine::Settings {
             token_time: Duration::from_millis(50),
             ..support::engine_settings()
         },
         hosts: 1,
-        ..support::Shape::default()
+        ..support::FleetConfig::default()
     };
-    let fleet = support::Fleet::start(&shape);
+    let fleet = support::Fleet::start(&config);
     let callers = fleet.members[0].callers;
-    let resp = support::chat(callers, &support::prompt("hello", true, 10)).unwrap();
+    let resp = support::chat(callers, &support::chat_body("hello", true, 10)).unwrap();
     let reading = std::thread::spawn(move || support::events(resp));
     let drained = fleet.members[0].host.drain();
     assert_eq!(drained, pistachiochute_runtime::host::DrainResult::Complete);
     let (events, end) = reading.join().unwrap();
     end.unwrap();
     assert_eq!(events.last().map(|(data, _)| data.as_str()), Some("[DONE]"));
-    let resp = support::chat(callers, &support::prompt("hello", true, 10)).unwrap();
+    let resp = support::chat(callers, &support::chat_body("hello", true, 10)).unwrap();
     assert_eq!(resp.status().as_u16(), 503);
     assert_eq!(support::header(&resp, "x-outcome"), "not_run");
     assert!(!support::header(&resp, "retry-after").is_empty());
@@ -102,14 +102,14 @@
 
 #[test]
 fn models_are_those_of_the_plan() {
-    let fleet = support::Fleet::start(&support::Shape::default());
+    let fleet = support::Fleet::start(&support::FleetConfig::default());
     let get = |key: &str| {
         attohttpc::get(format!("http://{}/v1/models", fleet.members[0].callers))
             .header("authorization", format!("Bearer {key}"))
             .send()
             .unwrap()
     };
-    let resp = get(support::KEY);
+    let resp = get(support::API_KEY);
     assert_eq!(resp.status().as_u16(), 200);
     assert_eq!(support::header(&resp, "x-outcome"), "run");
     let list: Value = resp.json().unwrap();
--- a/crates/runtime/tests/routing.rs
+++ b/crates/runtime/tests/routing.rs
@@ -12,8 +12,8 @@
 /// Time between two tokens of the slow engines.
 const TOKEN_TIME: Duration = Duration::from_millis(25);
 
-fn shape(hosts: u32, engines: u32) -> support::Shape {
-    support::Shape {
+fn fleet_config(hosts: u32, engines: u32) -> support::FleetConfig {
+    support::FleetConfig {
         hosts,
         engines,
         engine: engine::Settings {
@@ -21,7 +21,7 @@
             slots: 32,
             ..support::engine_settings()
         },
-        ..support::Shape::default()
+        ..support::FleetConfig::default()
     }
 }
 
@@ -31,7 +31,7 @@
     chat: usize,
     tokens: u32,
 ) -> thread::JoinHandle<Result<bool, String>> {
-    let body = support::prompt(&format!("chat {chat}"), true, tokens);
+    let body = support::chat_body(&format!("chat {chat}"), true, tokens);
     thread::spawn(move || {
         let resp = support::chat(callers, &body).map_err(|e| e.to_string())?;
         if resp.status().as_u16() != 200 {
@@ -55,7 +55,7 @@
 fn no_engine_runs_more_than_the_multiple_of_the_mean() {
     const STREAMS: usize = 24;
     const ENGINES: usize = 4;
-    let fleet = support::Fleet::start(&shape(3, ENGINES as u32));
+    let fleet = support::Fleet::start(&fleet_config(3, ENGINES as u32));
     assert!(support::eventually(|| open_endpoints(&fleet) == ENGINES));
     let streams: Vec<_> = (0..STREAMS)
         .map(|i| stream(fleet.members[i % 3].callers, i, 40))
@@ -81,7 +81,7 @@
 
 #[test]
 fn a_flapping_endpoint_loses_no_request() {
-    let mut fleet = support::Fleet::start(&shape(2, 3));
+    let mut fleet = support::Fleet::start(&fleet_config(2, 3));
     assert!(support::eventually(|| open_endpoints(&fleet) == 3));
     let mut streams = Vec::new();
     for flap in 0..6 {
@@ -89,7 +89,7 @@
             0 => topology::Presence::Leaving,
             _ => topology::Presence::Live,
         };
-        fleet.change(|list| list.endpoints[0].presence = presence);
+        fleet.update_host_list(|list| list.endpoints[0].presence = presence);
         for member in &fleet.members {
             let next = streams.len();
             streams.push(stream(member.callers, next, 8));
@@ -103,8 +103,8 @@
 }
 
 #[test]
-fn streams_of_a_dead_owner_end_whole_or_with_an_error() {
-    let mut fleet = support::Fleet::start(&shape(3, 4));
+fn streams_of_a_failed_owner_end_complete_or_with_an_error() {
+    let mut fleet = support::Fleet::start(&fleet_config(3, 4));
     assert!(support::eventually(|| open_endpoints(&fleet) == 4));
     let callers = fleet.members[1].callers;
     let streams: Vec<_> = (0..12).map(|i| stream(callers, i, 40)).collect();
@@ -112,8 +112,8 @@
     fleet.members.remove(0).host.close();
     for stream in streams {
         // A stream that ends without an error has its end marker.
-        if let Ok(whole) = stream.join().expect("a stream") {
-            assert!(whole, "a cut stream looked whole");
+        if let Ok(complete) = stream.join().expect("a stream") {
+            assert!(complete, "a truncated stream looked complete");
         }
     }
     assert!(support::eventually(|| open_endpoints(&fleet) == 4));
@@ -121,11 +121,11 @@
 }
 
 #[test]
-fn a_dead_engine_is_left_for_the_others() {
-    let mut fleet = support::Fleet::start(&shape(2, 3));
+fn requests_avoid_a_stopped_engine() {
+    let mut fleet = support::Fleet::start(&fleet_config(2, 3));
     assert!(support::eventually(|| open_endpoints(&fleet) == 3));
-    let (_, dead) = fleet.engines.remove(0);
-    dead.close();
+    let (_, stopped) = fleet.engines.remove(0);
+    stopped.close();
     for chat in 0..20 {
         let member = &fleet.members[chat % 2];
         assert_eq!(
--- a/crates/runtime/tests/support/mod.rs
+++ b/crates/runtime/tests/support/mod.rs
@@ -15,13 +15,13 @@
 use serde_json::{Value, json};
 
 /// API key of the account `farm`.
-pub const KEY: &str = "farm-key";
+pub const API_KEY: &str = "farm-key";
 
 /// Credential of an operator who may edit everything.
 pub const OPERATOR: &str = "credential of ana";
 
 /// Credential of an operator who may edit the account `farm` only.
-pub const NARROW_OPERATOR: &str = "credential of bo";
+pub const RESTRICTED_OPERATOR: &str = "credential of bo";
 
 /// Model that every engine serves.
 pub const MODEL: &str = "m1";
@@ -43,8 +43,8 @@
     pub key_value: keyvalue::KeyValue,
 }
 
-/// Shape of a fleet.
-pub struct Shape {
+/// Configuration of a fleet.
+pub struct FleetConfig {
     pub domains: u32,
     pub hosts: u32,
     pub engines: u32,
@@ -54,7 +54,7 @@
     pub settings: Value,
 }
 
-impl Default for Shape {
+impl Default for FleetConfig {
     fn default() -> Self {
         Self {
             domains: 1,
@@ -106,7 +106,7 @@
             "link": "a secret of the links",
             "operators": [
                 operator("ana", OPERATOR, &["*"], &["*"]),
-                operator("bo", NARROW_OPERATOR, &["farm"], &[]),
+                operator("bo", RESTRICTED_OPERATOR, &["farm"], &[]),
             ],
         },
     });
@@ -122,7 +122,7 @@
         "accounts": {
             "farm": {
                 "plan": "basic",
-                "key_digests": [lists::KeyDigest::of(KEY.as_bytes()).to_string()],
+                "key_digests": [lists::KeyDigest::of(API_KEY.as_bytes()).to_string()],
             },
         },
         "plans": {
@@ -146,26 +146,26 @@
 }
 
 impl Fleet {
-    pub fn start(shape: &Shape) -> Self {
+    pub fn start(config: &FleetConfig) -> Self {
         let mut list = topology::HostList {
             version: 1,
             ..topology::HostList::default()
         };
         let key_value = keyvalue::KeyValue::start().expect("a key-value service");
-        record(key_value.addr(), &lists());
+        record_lists(key_value.addr(), &lists());
         let mut engines = Vec::new();
         let mut bound = Vec::new();
-        for d in 0..shape.domains {
+        for d in 0..config.domains {
             let domain = format!("dom{d}").parse().expect("a domain");
             let region = "reg0".parse().expect("a region");
             list.domains.push(topology::Domain { id: domain, region });
-            for i in 0..shape.hosts {
+            for i in 0..config.hosts {
                 let sockets = host::Sockets {
                     callers: listener(),
                     links: listener(),
                     admin: listener(),
                 };
-                let number = d * shape.hosts + i;
+                let number = d * config.hosts + i;
                 let id = format!("host{number}").parse().expect("a host");
                 let addr = addr(&sockets.links);
                 let presence = topology::Presence::Live;
@@ -177,9 +177,9 @@
                 });
                 bound.push((number, d, id, sockets));
             }
-            for i in 0..shape.engines {
-                let engine = engine::Engine::start(shape.engine.clone()).expect("an engine");
-                let id = format!("ep{}", d * shape.engines + i)
+            for i in 0..config.engines {
+                let engine = engine::Engine::start(config.engine.clone()).expect("an engine");
+                let id = format!("ep{}", d * config.engines + i)
                     .parse()
                     .expect("an endpoint");
                 list.endpoints.push(topology::Endpoint {
@@ -187,16 +187,16 @@
                     domain,
                     addr: engine.addr(),
                     serves: topology::Serves::Engine {
-                        models: shape.engine.models.clone(),
+                        models: config.engine.models.clone(),
                     },
-                    slots: shape.engine.slots,
+                    slots: config.engine.slots,
                     presence: topology::Presence::Live,
                 });
                 engines.push((id, engine));
             }
         }
         let start = |(number, d, id, sockets): (u32, u32, entity::HostId, host::Sockets)| {
-            let settings = host_settings(number, d, &sockets, key_value.addr(), &shape.settings);
+            let settings = host_settings(number, d, &sockets, key_value.addr(), &config.settings);
             let callers = addr(&sockets.callers);
             let admin = addr(&sockets.admin);
             let host = start_host(settings.clone(), sockets);
@@ -215,26 +215,26 @@
             list,
             key_value,
         };
-        fleet.announce();
+        fleet.publish_host_list();
         assert!(eventually(|| fleet.ready()), "the fleet gets ready");
         fleet
     }
 
     /// Gives every host the host list as it is now.
-    pub fn announce(&self) {
+    pub fn publish_host_list(&self) {
         for member in &self.members {
             member.host.control().update_host_list(self.list.clone());
         }
     }
 
     /// Changes the host list and gives it to every host.
-    pub fn change<F>(&mut self, change: F)
+    pub fn update_host_list<F>(&mut self, change: F)
     where
         F: FnOnce(&mut topology::HostList),
     {
         change(&mut self.list);
         self.list.version += 1;
-        self.announce();
+        self.publish_host_list();
     }
 
     /// Closes a host and starts it again with nothing kept, on the same addresses.
@@ -266,7 +266,7 @@
 
     /// Records lists in the store and waits until they are in force on every host.
     pub fn set_lists(&self, lists: &lists::Lists) {
-        let revision = record(self.key_value.addr(), lists);
+        let revision = record_lists(self.key_value.addr(), lists);
         let in_force = |member: &Member| {
             member
                 .host
@@ -292,7 +292,7 @@
 }
 
 /// Records lists in a store, as an edit of the fleet, and returns their revision.
-pub fn record(addr: net::SocketAddr, lists: &lists::Lists) -> revision::Revision {
+pub fn record_lists(addr: net::SocketAddr, lists: &lists::Lists) -> revision::Revision {
     let kv = etcd::Etcd::new(etcd::Settings {
         addrs: vec![addr],
         call_timeout: Duration::from_secs(5),
@@ -314,7 +314,7 @@
 }
 
 /// Body of a chat.
-pub fn prompt(text: &str, stream: bool, tokens: u32) -> Value {
+pub fn chat_body(text: &str, stream: bool, tokens: u32) -> Value {
     json!({
         "model": MODEL,
         "stream": stream,
@@ -326,7 +326,7 @@
 /// Sends a chat as the account `farm`.
 pub fn chat(callers: net::SocketAddr, body: &Value) -> attohttpc::Result<attohttpc::Response> {
     attohttpc::post(format!("http://{callers}/v1/chat/completions"))
-        .header("authorization", format!("Bearer {KEY}"))
+        .header("authorization", format!("Bearer {API_KEY}"))
         .timeout(Duration::from_secs(20))
         .json(body)?
         .send()
