--- a/crates/runtime/src/control/admission.rs
+++ b/crates/runtime/src/control/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of callers' requests: account, plan and candidates.
+//! Admission of callers' requests: looks up the account and its plan, and selects the endpoints
+//! that may serve the request.
 
 use pistachiochute_core::{entity, lists, name, reason, request, routing, time, units};
 use pistachiochute_messages::forward;
@@ -8,13 +9,13 @@
 use crate::control::{Admitted, Candidate, DEFAULT_RETRY_AFTER, Refused};
 use crate::entry::call;
 
-/// Answer that is expected of a caller that states no longest answer, in tokens.
+/// Assumed length of the answer if the caller sets no limit, in tokens.
 const DEFAULT_ANSWER: units::Tokens = units::Tokens(512);
 
-/// Work that one call of a service counts as.
+/// Estimated work of one service call.
 const SERVICE_CALL_COST: units::Tokens = units::Tokens(1);
 
-/// Loads that one forwarded request carries.
+/// Maximum number of load views that a forwarded request carries.
 const MAX_LOAD_VIEWS: usize = 4;
 
 impl Refused {
@@ -77,7 +78,7 @@
         Ok(admitted)
     }
 
-    /// Models that the plan of an account may use.
+    /// Returns the models that the plan of an account allows.
     pub(super) fn models(
         &self,
         key_digest: &lists::KeyDigest,
@@ -170,7 +171,7 @@
     }
 }
 
-/// Estimated work of a call, prompt and answer.
+/// Estimates the work of a call: prompt plus answer, or one unit for a service call.
 fn estimate_cost(call: &call::Call, plan: &lists::Plan) -> units::Tokens {
     match call.target {
         request::Target::Model(_) => {
--- a/crates/runtime/src/control/command.rs
+++ b/crates/runtime/src/control/command.rs
@@ -1,4 +1,4 @@
-//! What other threads ask of the control thread.
+//! Commands that other threads send to the control thread.
 
 use bytes::Bytes;
 use crossbeam::channel;
@@ -13,7 +13,7 @@
 use crate::link;
 use crate::lists::sync;
 
-/// A command, with the channel for its answer if it has one.
+/// A command, with a reply channel if it has a result.
 pub(super) enum Command {
     Admit {
         request: request::RequestId,
@@ -54,7 +54,7 @@
         id: owner::AttemptId,
     },
     ObserveHealth(entity::EndpointId, health::Observation),
-    /// Gives the control thread its links, which need the control thread to be made.
+    /// Sets the links. They are created after the control thread because they need its handle.
     SetLinks(link::Sender),
     Message {
         message: control::Message,
@@ -65,7 +65,7 @@
         answer: Result<control::Message, link::CallError>,
     },
     UpdateHostList(topology::HostList),
-    /// Gives the control thread the thread that calls the store.
+    /// Sets the channel to the thread that calls the store.
     SetStore(sync::StoreSender),
     StoreAnswer(lists::replica::StoreAnswer),
     RecordedDelta(lists::Delta),
--- a/crates/runtime/src/control/handle.rs
+++ b/crates/runtime/src/control/handle.rs
@@ -16,12 +16,12 @@
 use crate::link;
 use crate::lists::sync;
 
-/// Handle with which other threads use the control thread.
+/// Handle through which other threads call the control thread.
 #[derive(Clone, Debug)]
 pub struct Handle {
     tx: channel::Sender<Command>,
-    /// Disconnected once the control thread has ended. Commands that it has not taken stay in the
-    /// channel, so their answers would be waited for without an end.
+    /// Disconnected once the control thread has ended. Commands that are still queued then stay in
+    /// the channel with their reply senders, so waiting on the reply alone would never return.
     ended: channel::Receiver<Infallible>,
 }
 
@@ -33,18 +33,18 @@
         Self { tx, ended }
     }
 
-    /// Asks whether and where a caller's request may be served. An admitted request must
-    /// [`Handle::end_request`] when it has ended.
+    /// Checks whether a caller's request is allowed and selects its candidates. Every admitted
+    /// request must be ended with [`Handle::end_request`].
     ///
     /// # Errors
     ///
-    /// Returns the refusal for the caller.
+    /// Returns the refusal to send to the caller.
     pub fn admit(
         &self,
         request: request::RequestId,
         call: &call::Call,
     ) -> Result<Admitted, Refused> {
-        // The body stays with the caller's thread.
+        // Admission does not need the body, which stays with the caller's thread.
         let call = call::Call {
             body: bytes::Bytes::new(),
             ..call.clone()
@@ -57,11 +57,11 @@
         admitted.unwrap_or_else(|| Err(Refused::shutting_down()))
     }
 
-    /// Models that the plan of a caller's account may use.
+    /// Returns the models that the plan of a caller's account allows.
     ///
     /// # Errors
     ///
-    /// Returns the refusal for the caller.
+    /// Returns the refusal to send to the caller.
     pub fn models(&self, key_digest: lists::KeyDigest) -> Result<Vec<name::ModelName>, Refused> {
         let models = self.request(|tx| Command::Models { key_digest, tx });
         models.unwrap_or_else(|| Err(Refused::shutting_down()))
@@ -72,7 +72,8 @@
         self.send(Command::EndRequest(request));
     }
 
-    /// Makes the attempts of a request, which share the retry budget of the host.
+    /// Creates the retry state of a request, which draws on the retry budget of the host. Returns
+    /// `None` once the control thread has ended.
     #[must_use]
     pub fn new_retry_state(
         &self,
@@ -88,7 +89,8 @@
         })
     }
 
-    /// Decides what follows a failed attempt.
+    /// Records a failed attempt and decides whether the request is retried. Returns `None` once the
+    /// control thread has ended.
     #[must_use]
     pub fn record_failure(
         &self,
@@ -102,15 +104,15 @@
         })
     }
 
-    /// Finds the owner of an endpoint.
+    /// Finds the current owner of an endpoint.
     #[must_use]
     pub fn locate(&self, endpoint: entity::EndpointId) -> Option<Candidate> {
         self.request(|tx| Command::Locate { endpoint, tx })
             .flatten()
     }
 
-    /// Offers a forwarded request for an endpoint that this host owns. Verdicts come on the
-    /// returned channel. Work that was dispatched must [`Handle::finish`].
+    /// Offers a forwarded request to an endpoint that this host owns. Decisions arrive on the
+    /// returned channel. Dispatched work must be ended with [`Handle::finish`].
     #[must_use]
     pub fn offer(&self, head: &forward::Forward) -> channel::Receiver<OfferDecision> {
         let (tx, rx) = channel::unbounded();
@@ -121,7 +123,8 @@
         rx
     }
 
-    /// Ends dispatched work.
+    /// Ends dispatched work and frees its slot. `used` is the number of tokens that the endpoint
+    /// reported, if any.
     pub fn finish(
         &self,
         endpoint: entity::EndpointId,
@@ -131,27 +134,27 @@
         self.send(Command::Finish { endpoint, id, used });
     }
 
-    /// Takes in what a call showed of the endpoint's health.
+    /// Records what a call showed about the health of its endpoint.
     pub fn observe_health(&self, endpoint: entity::EndpointId, observation: health::Observation) {
         self.send(Command::ObserveHealth(endpoint, observation));
     }
 
-    /// Takes offered work back, because its caller went away.
+    /// Cancels offered work whose caller disconnected.
     pub fn cancel(&self, endpoint: entity::EndpointId, id: owner::AttemptId) {
         self.send(Command::Cancel { endpoint, id });
     }
 
-    /// Gives the control thread the links on which it sends messages.
+    /// Sets the links over which the control thread sends messages.
     pub fn set_links(&self, links: link::Sender) {
         self.send(Command::SetLinks(links));
     }
 
-    /// Takes a message of another host. The answer goes to `done`.
+    /// Handles a message from another host. The answer is sent to `done`.
     pub fn handle_message(&self, message: control::Message, done: oneshot::Sender<Bytes>) {
         self.send(Command::Message { message, done });
     }
 
-    /// Takes the answer of another host to a message, or the reason why there is none.
+    /// Handles the answer of another host to a message, or the error of the call.
     pub(crate) fn handle_answer(
         &self,
         from: entity::HostId,
@@ -160,58 +163,60 @@
         self.send(Command::Answer { from, answer });
     }
 
-    /// Takes in the host list of the platform.
+    /// Applies a host list read from the platform.
     pub fn update_host_list(&self, list: topology::HostList) {
         self.send(Command::UpdateHostList(list));
     }
 
-    /// Gives the control thread the thread that calls the store.
+    /// Sets the channel to the thread that calls the store.
     pub fn set_store(&self, store: sync::StoreSender) {
         self.send(Command::SetStore(store));
     }
 
-    /// Takes the answer to an order to read the store.
+    /// Handles the result of a read of the store.
     pub fn handle_store_answer(&self, answer: lists::replica::StoreAnswer) {
         self.send(Command::StoreAnswer(answer));
     }
 
-    /// Takes an edit of the lists that the store has recorded.
+    /// Applies an edit of the lists that the store has recorded.
     pub fn handle_recorded_delta(&self, delta: lists::Delta) {
         self.send(Command::RecordedDelta(delta));
     }
 
-    /// Largest version of the lists that is known to exist.
+    /// Returns the highest version of the lists that this host has seen, even if it does not have
+    /// those lists yet.
     #[must_use]
     pub fn highest_version(&self) -> lists::Version {
         self.request(Command::HighestVersion)
             .unwrap_or(lists::Version::NONE)
     }
 
-    /// Models and services that endpoints serve, or `None` while the host list is not known.
+    /// Returns the models and services that endpoints serve, or `None` before the first host list.
     #[must_use]
     pub fn served_targets(&self) -> Option<lists::verify::ServedTargets> {
         self.request(Command::ServedTargets).flatten()
     }
 
-    /// What the domains have in force of a revision, or of the host's own if it is `None`.
+    /// Reports which domains have applied a revision of the lists. `None` stands for the revision
+    /// that this host has applied.
     #[must_use]
     pub fn lists_status(&self, revision: Option<revision::Revision>) -> Option<ListsStatus> {
         self.request(|tx| Command::ListsStatus { revision, tx })
     }
 
-    /// State of the host, or `None` once the control thread has ended.
+    /// Returns the state of the host, or `None` once the control thread has ended.
     #[must_use]
     pub fn status(&self) -> Option<Status> {
         self.request(Command::Status)
     }
 
-    /// Stops taking new requests.
+    /// Starts draining: the host admits no more requests and closes its endpoints.
     pub fn drain(&self) {
         self.send(Command::Drain);
     }
 
     pub(super) fn send(&self, command: Command) {
-        // Only a closed control thread refuses commands, and then there is nothing to decide.
+        // Sending fails only after the control thread has ended, when commands have no effect.
         let _ = self.tx.send(command);
     }
 
@@ -227,7 +232,7 @@
         }
     }
 
-    /// Whether the control thread has ended, so that nothing will be decided any more.
+    /// Whether the control thread has ended, so that no further decision will arrive.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         self.ended.try_recv() == Err(channel::TryRecvError::Disconnected)
--- a/crates/runtime/src/control/loads.rs
+++ b/crates/runtime/src/control/loads.rs
@@ -1,4 +1,4 @@
-//! Loads that the hosts of the domain tell each other, and the handover of endpoints.
+//! Load reports between the hosts of a failure domain, and handover of endpoints between owners.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 
 use crate::control::state::State;
 
-/// Age of a report on arrival: half of a usual round trip inside a domain.
+/// Assumed age of a report on arrival: half of a typical round trip within a domain.
 const REPORT_AGE: Duration = Duration::from_millis(1);
 
 impl State {
-    /// The other hosts of the domain.
+    /// Returns the other hosts of the domain.
     fn peers(&self) -> SmallVec<[entity::HostId; 8]> {
         let (host, domain) = (self.settings.host.id, self.settings.host.domain);
         self.directory
@@ -24,7 +24,8 @@
             .collect()
     }
 
-    /// Opens the endpoints that this host owns and shuts the others.
+    /// Opens the endpoints that this host owns and closes all others, after the host list or the
+    /// membership has changed.
     pub(super) fn reconcile_endpoints(&mut self, now: time::Time) {
         let host = self.settings.host.id;
         let domain = self.settings.host.domain;
@@ -88,7 +89,8 @@
         self.apply_owner_effects(effects);
     }
 
-    /// Asks the other hosts of the domain about the endpoints that this host takes over.
+    /// Asks the other hosts of the domain for the load they still have in flight at endpoints that
+    /// this host takes over.
     fn query_former_owners(&mut self, now: time::Time) {
         for (peer, claims) in self.handovers.due_queries(now) {
             let report = self.report(claims);
@@ -112,7 +114,8 @@
         }
     }
 
-    /// Tells the other hosts of the domain of changed loads, as often as the budget allows.
+    /// Schedules a report of changed loads to the other hosts of the domain, within the budget for
+    /// reports, and sends it if it is due.
     pub(super) fn schedule_report(&mut self, now: time::Time) {
         let peers = self.peers();
         if let Some(at) = self.report_pacer.schedule(peers.len(), now) {
@@ -121,7 +124,7 @@
         self.send_report(now, &peers);
     }
 
-    /// Does the timed work on loads.
+    /// Sends due reports and handover queries, and dispatches queued work.
     pub(super) fn tick_loads(&mut self, now: time::Time) {
         let peers = self.peers();
         if let Some(at) = self.report_pacer.schedule_refresh(peers.len(), now) {
@@ -145,7 +148,7 @@
         }
     }
 
-    /// Takes a report of another host and answers it.
+    /// Applies a report from another host and returns the report to answer it with.
     pub(super) fn handle_report(
         &mut self,
         now: time::Time,
@@ -164,7 +167,8 @@
         }
     }
 
-    /// Takes in the loads of another host, and what it says of endpoints that this host claims.
+    /// Applies the loads that another host reports, and its residual load at endpoints that this
+    /// host claims.
     pub(super) fn apply_report(&mut self, now: time::Time, report: &report::Report) {
         for load in report.loads.iter().take(report::MAX_ENTRIES) {
             let remote = pool::RemoteLoad {
@@ -185,7 +189,7 @@
         }
     }
 
-    /// Takes in that a host cannot be reached any more.
+    /// Stops waiting for handover answers from a host that is down.
     pub(super) fn host_down(&mut self, now: time::Time, host: entity::HostId) {
         for (endpoint, load) in self.handovers.host_down(host) {
             let effects = self.owner.record_handover(now, endpoint, load);
--- a/crates/runtime/src/control/mod.rs
+++ b/crates/runtime/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! The control thread, which holds all control state of the host.
+//! The control thread, which owns all control state of the host.
 //!
-//! Traffic threads send typed commands and wait for their answers, so no control state is shared
-//! and every decision is made by the state machines of the core in one order.
+//! Traffic threads send it typed commands and wait for the replies. No control state is shared
+//! between threads, and the state machines of `pistachiochute_core` see all events in one order.
 
 mod admission;
 mod command;
@@ -27,70 +27,70 @@
 
 pub use handle::Handle;
 
-/// Commands that may wait for the control thread.
+/// Capacity of the command channel.
 const COMMAND_BUFFER: usize = 4096;
 
-/// Delay after which a caller may come back when nothing better is known.
+/// Retry delay for callers when no better estimate is available.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Time between two rounds of timed work.
+/// Interval of timer-driven work.
 const TICK: Duration = Duration::from_millis(50);
 
-/// An endpoint that may serve a request.
+/// An endpoint that may serve a request, with its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The endpoint.
     pub endpoint: entity::EndpointId,
-    /// Host that owns it.
+    /// Host that owns the endpoint.
     pub owner: entity::HostId,
     /// Address of the owner's links, or `None` if this host is the owner.
     pub addr: Option<net::SocketAddr>,
 }
 
-/// A request that its plan allows, and where it may be served.
+/// An admitted request: its account's parameters and the candidates that may serve it.
 #[derive(Clone, Debug)]
 pub struct Admitted {
     /// Account of the caller.
     pub account: name::AccountName,
     /// Weight of the account.
     pub weight: u32,
-    /// Priority from the plan.
+    /// Priority that the plan sets.
     pub priority: u8,
     /// Chat, if the request belongs to one.
     pub chat: Option<request::ChatKey>,
     /// Estimated work.
     pub cost: units::Tokens,
-    /// Revision of the lists that the decision rests on.
+    /// Revision of the lists that admission used.
     pub revision: revision::Revision,
     /// Endpoints in order of preference.
     pub candidates: SmallVec<[Candidate; 8]>,
-    /// Loads of this host's endpoints that serve the same target.
+    /// Loads of endpoints that this host owns and that serve the same target.
     pub loads: SmallVec<[forward::LoadView; 4]>,
 }
 
-/// A request that is refused before it is routed.
+/// Refusal of a request before it is routed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refused {
     /// Reason code.
     pub reason: reason::Refusal,
-    /// Delay after which the caller may come back.
+    /// Delay after which the caller may retry.
     pub retry_after: Option<Duration>,
-    /// What happened, for the caller.
+    /// Message for the caller.
     pub message: String,
 }
 
-/// How far a revision of the lists has come.
+/// Propagation of a revision of the lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListsStatus {
     /// The revision.
     pub revision: revision::Revision,
-    /// Version in force on the host.
+    /// Version that this host has applied.
     pub version: lists::Version,
-    /// What is known of each failure domain.
+    /// Status of each failure domain.
     pub domains: Vec<lists::replica::DomainStatus>,
 }
 
-/// What the owner side does with offered work.
+/// Decision of the owner on offered work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferDecision {
     /// Send the work to the endpoint.
@@ -98,37 +98,37 @@
         /// Address of the endpoint.
         addr: net::SocketAddr,
     },
-    /// The work waits; another decision follows.
+    /// The work is queued; another decision follows.
     Queued {
-        /// Entries in the queue before it.
+        /// Number of queue entries ahead of it.
         ahead: u32,
     },
-    /// The work was not run and will not be.
+    /// The work has not run and will not run.
     Refuse {
-        /// Why.
+        /// Reason code.
         reason: reason::Refusal,
-        /// Delay after which it may be offered again.
+        /// Delay after which the work may be offered again.
         retry_after: Option<Duration>,
     },
 }
 
-/// State of the host, as health checks and operators see it.
+/// State of the host for health checks and operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Status {
     /// The host.
     pub host: entity::HostId,
-    /// Whether the host may get requests.
+    /// Whether the host accepts requests.
     pub ready: bool,
     /// Whether the host is shutting down.
     pub draining: bool,
-    /// Revision of the lists in force.
+    /// Revision of the lists that the host has applied.
     pub revision: revision::Revision,
-    /// Requests of callers in progress.
+    /// Number of callers' requests in progress.
     #[serde(rename = "arrived")]
     pub requests_in_progress: usize,
-    /// Work that runs and waits at the endpoints that the host owns.
+    /// Number of requests that run or wait at endpoints that the host owns.
     pub owned: usize,
-    /// Endpoints that the host takes new work for.
+    /// Number of endpoints for which the host accepts new work.
     pub open_endpoints: usize,
     /// Version of the host list in use.
     pub host_list: u64,
@@ -146,7 +146,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the thread cannot be made.
+    /// Returns an error if the thread cannot be started.
     pub fn start(
         settings: Arc<settings::Settings>,
         metrics: metrics::Metrics,
@@ -165,13 +165,13 @@
         Ok(Self { handle, thread })
     }
 
-    /// Handle with which other threads use the control thread.
+    /// Returns a handle for other threads.
     #[must_use]
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Ends the thread.
+    /// Stops the thread and waits for it to end.
     pub fn close(self) {
         self.handle.send(Command::Close);
         let _ = self.thread.join();
--- a/crates/runtime/src/control/offer.rs
+++ b/crates/runtime/src/control/offer.rs
@@ -1,4 +1,4 @@
-//! Work offered for the endpoints that this host owns.
+//! Offers of work for the endpoints that this host owns.
 
 use std::time::Duration;
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Why this host cannot take the work at all.
+    /// Returns the reason why this host cannot accept the work, if there is one.
     fn check_offer(&self, head: &forward::Forward) -> Option<reason::Refusal> {
         if self.draining {
             return Some(reason::Refusal::Draining);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Whether the endpoint failed its health checks while another may serve the request.
+    /// Whether the endpoint is ejected after failed calls while another one can serve the request.
     fn is_ejected(&self, head: &forward::Forward) -> bool {
         let domain = self.settings.host.domain;
         let other = |id| id != head.endpoint && self.health.is_usable(id);
@@ -93,7 +93,7 @@
             && self.directory.pool(&head.target, domain).any(other)
     }
 
-    /// Tells the waiting threads what to do.
+    /// Sends the owner's decisions to the threads that wait for them.
     pub(super) fn apply_owner_effects(&mut self, effects: owner::Effects) {
         for effect in effects {
             match effect {
@@ -144,7 +144,7 @@
         let _ = offered.tx.send(decision);
     }
 
-    /// Forgets work that was refused, taken back or finished.
+    /// Removes work that was refused, cancelled or finished.
     pub(super) fn remove_offer(&mut self, id: owner::AttemptId) -> Option<OfferedWork> {
         let offered = self.offers.remove(&id)?;
         if offered.queued {
@@ -154,7 +154,7 @@
     }
 }
 
-/// Estimated work of a request in the unit of its endpoint's load.
+/// Estimates the work of a request in the load unit of its endpoint.
 fn estimate_load(head: &forward::Forward) -> u64 {
     match head.target {
         request::Target::Model(_) => work::of_tokens(head.prompt, head.cost - head.prompt),
--- a/crates/runtime/src/control/peers.rs
+++ b/crates/runtime/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between this control thread and those of other hosts.
+//! Messages between the control threads of hosts.
 
 use bytes::Bytes;
 use pistachiochute_core::{entity, membership, time};
@@ -9,7 +9,7 @@
 use crate::link;
 
 impl State {
-    /// Takes a message of another host and answers it.
+    /// Handles a message from another host and answers it.
     pub(super) fn handle_message(
         &mut self,
         now: time::Time,
@@ -32,12 +32,12 @@
             }
         };
         if let Ok(answer) = codec::encode(&answer) {
-            // The asking host may have gone meanwhile.
+            // Sending fails if the connection to the other host has been closed meanwhile.
             let _ = done.send(answer);
         }
     }
 
-    /// Takes the answer of another host to a message.
+    /// Handles the answer of another host to a message.
     pub(super) fn handle_answer(
         &mut self,
         now: time::Time,
@@ -45,7 +45,7 @@
         answer: Result<control::Message, link::CallError>,
     ) {
         let effects = match answer {
-            // An answer in the name of another host comes from a reused address.
+            // The answer names a different host if the address has been reused.
             Ok(control::Message::Probe(probe)) if probe.from != from => {
                 self.membership.handle_probe_failure(now, from, false)
             }
@@ -76,7 +76,7 @@
             return;
         };
         let handle = self.handle.clone();
-        // Only a probe without an answer says something of the host.
+        // Errors count against the host only for probes. Other messages are not failure detection.
         let is_probe = matches!(message, control::Message::Probe(_));
         links.control(addr, encoded, move |answer| {
             let answer = answer.and_then(|bytes| {
@@ -88,7 +88,7 @@
         });
     }
 
-    /// Does what the membership asks for.
+    /// Applies the effects of the membership.
     pub(super) fn apply_membership_effects(
         &mut self,
         now: time::Time,
--- a/crates/runtime/src/control/replica.rs
+++ b/crates/runtime/src/control/replica.rs
@@ -1,4 +1,4 @@
-//! The host's copy of the two lists.
+//! Replica of the lists of accounts and plans.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::lists::sync;
 
 impl State {
-    /// Starts the replica once the hosts are known, and tells it of every change of them.
+    /// Starts the replica on the first host list, and updates its view of usable hosts afterwards.
     pub(super) fn refresh_replica(&mut self, now: time::Time) {
         let me = self.settings.host.id;
         let usable = self
@@ -35,7 +35,7 @@
         self.apply_replica_effects(effects);
     }
 
-    /// Gives an event to the replica and does what it asks for.
+    /// Passes an event to the replica, if it is started, and applies the effects.
     pub(super) fn with_replica<F>(&mut self, event: F)
     where
         F: FnOnce(&mut Replica) -> Effects,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Takes the thread that calls the store.
+    /// Sets the channel to the thread that calls the store.
     pub(super) fn set_store(&mut self, store: sync::StoreSender) {
         self.store = Some(store);
     }
@@ -101,7 +101,7 @@
         self.lists = Some(lists);
     }
 
-    /// Takes a message on the lists from another host.
+    /// Handles a message of another host's replica.
     pub(super) fn lists_message(
         &mut self,
         now: time::Time,
@@ -111,7 +111,7 @@
         self.with_replica(|replica| replica.handle_message(now, from, message));
     }
 
-    /// What the domains have in force of a revision.
+    /// Reports which domains have applied a revision.
     pub(super) fn lists_status(
         &self,
         now: time::Time,
--- a/crates/runtime/src/control/state.rs
+++ b/crates/runtime/src/control/state.rs
@@ -1,4 +1,4 @@
-//! Control state of the host.
+//! Control state of the host and dispatch of commands.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::lists::sync;
 use crate::{clock, control, link, metrics, settings};
 
-/// Control state of the host.
+/// Control state of the host. Only the control thread accesses it.
 pub struct State {
     pub(super) settings: Arc<settings::Settings>,
     pub(super) metrics: metrics::Metrics,
@@ -22,40 +22,40 @@
     pub(super) directory: routing::candidates::Directory,
     pub(super) owner: owner::Owner,
     pub(super) health: health::Health,
-    /// Endpoints that this host takes over.
+    /// Endpoints that this host is taking over from former owners.
     pub(super) handovers: routing::handover::Handovers,
     pub(super) report_pacer: routing::pacer::ReportPacer,
-    /// When the next load report is sent, if one is due.
+    /// Time of the next load report, if one is scheduled.
     pub(super) report_at: Option<time::Time>,
-    /// Whether the last report promised to report every further change at once.
+    /// Whether the last load report announced that every further change is reported at once.
     pub(super) pushes_changes: bool,
-    /// Threads that wait for a decision on the work they offered.
+    /// Offered work that has not been refused or finished.
     pub(super) offers: HashMap<owner::AttemptId, OfferedWork>,
     pub(super) revision: revision::Revision,
     pub(super) lists: Option<Arc<lists::Lists>>,
-    /// Accounts by the digests of their API keys. Rebuilt with the lists.
+    /// Accounts by the digests of their API keys. Rebuilt whenever lists are applied.
     pub(super) accounts: HashMap<lists::KeyDigest, name::AccountName>,
-    /// Requests of callers in progress.
+    /// Callers' requests in progress, with their accounts.
     pub(super) in_progress: HashMap<request::RequestId, name::AccountName>,
     pub(super) draining: bool,
     budget: retry::Budget,
     pub(super) membership: membership::Membership,
-    /// Handle of this thread, for the answers that other hosts send.
+    /// Handle of this thread, through which answers of other hosts are delivered.
     pub(super) handle: control::Handle,
-    /// Links, once they are made.
+    /// Links to other hosts, once they are started.
     pub(super) links: Option<link::Sender>,
-    /// The host's copy of the lists, once the hosts are known.
+    /// Replica of the lists, started with the first host list.
     pub(super) replica: Option<lists::replica::Replica>,
-    /// Thread that calls the store, once it is made.
+    /// Channel to the thread that calls the store, once that thread is started.
     pub(super) store: Option<sync::StoreSender>,
-    /// Models and services that endpoints serve, once the host list is known.
+    /// Models and services that endpoints serve, set by the first host list.
     pub(super) served_targets: Option<lists::verify::ServedTargets>,
 }
 
-/// Work that was offered and has not been refused.
+/// Offered work that has not been refused or finished.
 pub(super) struct OfferedWork {
     pub endpoint: entity::EndpointId,
-    /// Whether the work waits in the endpoint's queue.
+    /// Whether the work is in the endpoint's queue.
     pub queued: bool,
     pub tx: channel::Sender<OfferDecision>,
 }
@@ -161,7 +161,8 @@
             Command::Cancel { endpoint, id } => {
                 self.remove_offer(id);
                 if !self.owner.cancel(endpoint, id) {
-                    // It was dispatched at the same moment, and nobody will run it.
+                    // The work was dispatched concurrently with the cancellation. Nothing will
+                    // run it, so its slot is freed.
                     let effects = self.owner.finish(now, endpoint, id, None);
                     self.apply_owner_effects(effects);
                 }
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Does the timed work.
+    /// Runs timer-driven work.
     pub fn tick(&mut self, now: time::Time) {
         let effects = self.owner.expire(now);
         self.apply_owner_effects(effects);
--- a/crates/runtime/src/endpoint/answer_sender.rs
+++ b/crates/runtime/src/endpoint/answer_sender.rs
@@ -1,4 +1,4 @@
-//! Passes an answer on in numbered pieces.
+//! Sender of an answer as numbered frames.
 
 use bytes::{Bytes, BytesMut};
 use pistachiochute_core::{answer, journal, request, units};
@@ -6,27 +6,28 @@
 
 use crate::http_client;
 
-/// The receiver of the answer went away.
+/// Error: the receiver of the answer is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceiverClosed;
 
-/// Sends the pieces of one answer, counted so that the receiver can tell a whole answer.
+/// Sends the frames of one answer. The end frame holds the numbers of chunks and bytes, from which
+/// the receiver detects an incomplete answer.
 #[derive(Debug)]
 pub struct AnswerSender {
     request: request::RequestId,
     attempt: u8,
     tx: mpsc::Sender<answer::Frame>,
-    /// Chunks sent.
+    /// Number of chunks sent.
     chunks: u32,
-    /// Bytes sent.
+    /// Number of body bytes sent.
     bytes: u64,
     /// Whether the status and content type were sent.
     has_head: bool,
-    /// Status, content type and body of an answer that is recorded.
+    /// Copy of the answer, if it is recorded in the journal.
     recording: Option<Recording>,
 }
 
-/// An answer that is recorded once it is whole.
+/// Copy of an answer that the journal records once it is complete.
 #[derive(Debug, Default)]
 struct Recording {
     status: u16,
@@ -35,7 +36,7 @@
 }
 
 impl AnswerSender {
-    /// Makes an answer to one attempt, without pieces yet.
+    /// Creates a sender for the answer to one attempt.
     #[must_use]
     pub fn new(request: request::RequestId, attempt: u8, tx: mpsc::Sender<answer::Frame>) -> Self {
         Self {
@@ -49,12 +50,12 @@
         }
     }
 
-    /// Keeps the answer, to be recorded.
+    /// Starts copying the answer for the journal.
     pub fn start_recording(&mut self) {
         self.recording = Some(Recording::default());
     }
 
-    /// The answer that was kept.
+    /// Returns the copied answer, or `None` if [`AnswerSender::start_recording`] was not called.
     #[must_use]
     pub fn recorded(&self) -> Option<journal::RecordedAnswer> {
         let recording = self.recording.as_ref()?;
@@ -64,33 +65,33 @@
         Some(recorded)
     }
 
-    /// Sends an answer that was recorded earlier.
+    /// Sends an answer from the journal.
     ///
     /// # Errors
     ///
-    /// Returns [`ReceiverClosed`] if the receiver went away.
+    /// Returns [`ReceiverClosed`] if the receiver is closed.
     pub fn replay(mut self, recorded: &journal::RecordedAnswer) -> Result<(), ReceiverClosed> {
         self.send_head(recorded.status, recorded.content_type.clone())?;
         self.send_chunk(recorded.body.clone().unwrap_or_default(), None)?;
         self.finish(None)
     }
 
-    /// Who wants the answer.
+    /// Returns the cancellation that fires when the receiver is closed.
     pub(super) fn cancellation(&self) -> http_client::Cancellation {
         http_client::Cancellation::OnReceiverClosed(self.tx.clone())
     }
 
-    /// Whether any part of the endpoint's answer was sent.
+    /// Whether the status and content type were sent.
     #[must_use]
     pub fn has_head(&self) -> bool {
         self.has_head
     }
 
-    /// Sends one reply.
+    /// Sends one frame.
     ///
     /// # Errors
     ///
-    /// Returns [`ReceiverClosed`] if the receiver went away.
+    /// Returns [`ReceiverClosed`] if the receiver is closed.
     pub fn send(&self, part: answer::Part) -> Result<(), ReceiverClosed> {
         let frame = answer::Frame {
             request: self.request,
@@ -100,7 +101,7 @@
         self.tx.blocking_send(frame).map_err(|_| ReceiverClosed)
     }
 
-    /// Sends the status and content type, once.
+    /// Sends the status and content type. Later calls have no effect.
     pub(super) fn send_head(
         &mut self,
         status: u16,
@@ -120,7 +121,7 @@
         }))
     }
 
-    /// Sends a piece of the body.
+    /// Sends a chunk of the body.
     pub(super) fn send_chunk(
         &mut self,
         data: Bytes,
@@ -135,11 +136,11 @@
         self.send(answer::Part::Chunk { seq, event, data })
     }
 
-    /// Sends the end of a whole answer.
+    /// Sends the end of a complete answer.
     ///
     /// # Errors
     ///
-    /// Returns [`ReceiverClosed`] if the receiver went away.
+    /// Returns [`ReceiverClosed`] if the receiver is closed.
     pub fn finish(self, used: Option<units::Tokens>) -> Result<(), ReceiverClosed> {
         let end = answer::Part::End {
             chunks: self.chunks,
--- a/crates/runtime/src/endpoint/call.rs
+++ b/crates/runtime/src/endpoint/call.rs
@@ -1,4 +1,4 @@
-//! One call to an endpoint, with resumption of a cut stream.
+//! One call to an endpoint, which resumes truncated event streams.
 
 use std::io;
 use std::net;
@@ -12,10 +12,10 @@
 use crate::endpoint::{answer_sender, events};
 use crate::{endpoint, http_client};
 
-/// Times that a cut stream is resumed before the call fails.
+/// Number of times that a truncated stream is resumed before the call fails.
 const MAX_RESUMES: u32 = 3;
 
-/// Largest piece of an answer that is not a stream of events, in bytes.
+/// Maximum chunk size of an answer that is not an event stream, in bytes.
 const MAX_CHUNK_BYTES: usize = 64 * 1024;
 
 /// A call to one endpoint.
@@ -23,19 +23,19 @@
 pub struct Call<'a> {
     /// Address of the endpoint.
     pub addr: net::SocketAddr,
-    /// Request to send.
+    /// Forwarded request, without its body.
     pub head: &'a forward::Forward,
     /// Body of the request.
     pub body: &'a Bytes,
-    /// Times after which the call is given up.
+    /// Timeouts of the call.
     pub timeouts: endpoint::Timeouts,
 }
 
-/// Why a part of a call stopped.
+/// Why one HTTP exchange of a call ended early.
 enum AttemptError {
     ReceiverClosed,
     Failed(endpoint::Failure),
-    /// The stream was cut after the event with this id, if any.
+    /// The event stream ended before its end marker, for this reason. It may be resumed.
     Truncated(reason::Refusal),
 }
 
@@ -52,7 +52,8 @@
 }
 
 impl Call<'_> {
-    /// Sends the request and passes the answer on. The end marker is left to the caller.
+    /// Sends the request and forwards the answer to `sender`. Does not send the end of the answer,
+    /// which is up to the caller of this function.
     pub fn run(&self, sender: &mut answer_sender::AnswerSender) -> endpoint::CallResult {
         let mut last_event_id = self.head.resume_after;
         let mut resumes = 0;
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Whether the call may be sent again to go on with a cut stream. An endpoint that does not
-    /// know resumption would run it a second time.
+    /// Whether a truncated stream may be resumed by sending the request again. An endpoint that
+    /// does not support resumption would run it a second time, so the request must be idempotent.
     fn may_resume(&self, progress: &Progress) -> bool {
         progress.last_event_id.is_some()
             && self.head.idempotency == request::Idempotency::Idempotent
@@ -121,7 +122,7 @@
         http_client::send(self.addr, req, timeouts, sender.cancellation()).map_err(send_failure)
     }
 
-    /// The request as the endpoint gets it.
+    /// Builds the HTTP request to the endpoint.
     fn request(&self, last_event_id: Option<u32>) -> http::Result<http::Request<Full<Bytes>>> {
         let path = std::str::from_utf8(&self.head.path).unwrap_or("/");
         let method = match self.head.method {
@@ -148,30 +149,31 @@
     }
 }
 
-/// A request that cannot be sent, since its path is none.
+/// Failure of a request whose path is not a valid URI.
 fn malformed() -> AttemptError {
     let reason = reason::Refusal::BadRequest;
     endpoint::Failure::new(reason, outcome::Outcome::NotRun).into()
 }
 
-/// Ends the call of a receiver that went away.
+/// Result of a call whose receiver is closed.
 ///
-/// Closing the connection stops the engine. A cancel by the id of the request could reach it after
-/// a newer attempt has taken the same run over, and would end that one.
+/// Closing the connection stops the engine. A cancel request by request id is not sent: it could
+/// arrive after a newer attempt has resumed the same run, and would cancel that attempt.
 const fn receiver_closed() -> endpoint::CallResult {
     let reason = reason::Refusal::CallerGone;
     endpoint::CallResult::Failed(endpoint::Failure::new(reason, outcome::Outcome::Run))
 }
 
-/// How far the answer has come.
+/// Progress of the answer.
 struct Progress {
-    /// Id of the last whole event.
+    /// Id of the last complete event.
     last_event_id: Option<u32>,
-    /// Tokens that the endpoint reports to have used.
+    /// Number of tokens used, as reported by the endpoint.
     used: Option<units::Tokens>,
 }
 
-/// A request that could not be connected did not run; any later failure may have come after.
+/// Classifies a failure to send. Without a connection the request did not run; after any later
+/// failure it may have run.
 fn send_failure(e: http_client::Error) -> AttemptError {
     let (reason, outcome) = match e {
         http_client::Error::NotSent(_) => {
@@ -186,7 +188,7 @@
     endpoint::Failure::new(reason, outcome).into()
 }
 
-/// Failure that an endpoint's own refusal before running stands for.
+/// Detects an answer in which the endpoint refuses the request without running it.
 fn endpoint_refusal(response: &http_client::Response) -> Option<AttemptError> {
     let outcome = response.header(endpoint::OUTCOME_HEADER);
     if outcome != outcome::Outcome::NotRun.as_str() {
@@ -224,7 +226,7 @@
     }
 }
 
-/// Why a stream of events ended early.
+/// Classifies a read error of an event stream.
 fn truncation_error(e: &io::Error) -> AttemptError {
     match e.kind() {
         io::ErrorKind::BrokenPipe => AttemptError::ReceiverClosed,
@@ -233,7 +235,7 @@
     }
 }
 
-/// Reads a whole body before any of it is passed on.
+/// Reads the complete body before forwarding any of it.
 fn read_body(
     response: http_client::Response,
     sender: &mut answer_sender::AnswerSender,
@@ -254,7 +256,7 @@
     Ok(())
 }
 
-/// Tokens that an OpenAI-compatible event or answer reports to have used.
+/// Parses the number of used tokens in an OpenAI-compatible event or answer.
 fn used_tokens(data: &[u8]) -> Option<units::Tokens> {
     #[derive(serde::Deserialize)]
     struct Usage {
--- a/crates/runtime/src/endpoint/events.rs
+++ b/crates/runtime/src/endpoint/events.rs
@@ -1,35 +1,35 @@
-//! Splits a stream of server-sent events at whole events.
+//! Reader of server-sent events that returns complete events only.
 
 use std::io;
 use std::io::BufRead as _;
 
 use bytes::Bytes;
 
-/// Longest event, in bytes.
+/// Maximum length of an event, in bytes.
 const MAX_EVENT_LEN: u64 = 256 * 1024;
 
 /// Data of the event that ends an OpenAI-compatible stream.
 const END_OF_STREAM_DATA: &[u8] = b"[DONE]";
 
-/// One whole event.
+/// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Bytes of the event with the blank line that ends it.
+    /// Raw bytes of the event, including the blank line that ends it.
     pub bytes: Bytes,
-    /// Number that its `id` field holds.
+    /// Numeric value of the `id` field.
     pub id: Option<u32>,
     /// Whether the event ends the stream.
     pub done: bool,
 }
 
 impl Event {
-    /// Value of the event's `data` field.
+    /// Returns the value of the `data` field.
     pub fn data(&self) -> Option<&[u8]> {
         field(&self.bytes, b"data")
     }
 }
 
-/// Reads whole events.
+/// Reads complete events.
 #[derive(Debug)]
 pub struct EventReader<R> {
     reader: io::BufReader<R>,
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Reads the next event, or `None` if the stream ends. Bytes of a cut event are dropped.
+    /// Reads the next event. Returns `None` at the end of the stream, where the bytes of an
+    /// incomplete event are dropped, and an error if an event exceeds the maximum length.
     pub fn next_event(&mut self) -> io::Result<Option<Event>> {
         let mut bytes = Vec::new();
         loop {
--- a/crates/runtime/src/endpoint/mod.rs
+++ b/crates/runtime/src/endpoint/mod.rs
@@ -1,8 +1,8 @@
 //! Calls to endpoints over HTTP.
 //!
-//! Each call uses a connection of its own, so no idle connection can go silent. The answer is
-//! passed on in pieces; a stream of events is cut at whole events only, so that a cut stream can
-//! be resumed at the engine after the last whole event.
+//! Each call uses its own connection, so a call never meets a pooled connection that broke while
+//! idle. The answer is forwarded in chunks. Each chunk of an event stream holds complete events,
+//! so that a truncated stream can be resumed at the engine after the last complete event.
 
 mod answer_sender;
 mod call;
@@ -15,47 +15,47 @@
 pub use answer_sender::{AnswerSender, ReceiverClosed};
 pub use call::Call;
 
-/// Header that tells the outcome of a request, on answers of endpoints and of the fleet.
+/// Header with the outcome of a request, on answers of endpoints and of the fleet.
 pub const OUTCOME_HEADER: &str = "x-outcome";
 
-/// Header that carries the id of a request on every hop.
+/// Header with the request id, sent on every hop.
 pub const REQUEST_HEADER: &str = "x-request-id";
 
-/// Header that carries the priority of a request to an engine.
+/// Header with the request priority, sent to engines.
 const PRIORITY_HEADER: &str = "x-priority";
 
-/// Header that carries the caller's idempotency key.
+/// Header with the caller's idempotency key.
 const KEY_HEADER: &str = "idempotency-key";
 
-/// Times after which a call is given up.
+/// Timeouts of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// Time to make a connection.
+    /// Maximum time to connect.
     pub connect: Duration,
-    /// Time without a byte of the answer.
+    /// Maximum time without receiving a byte of the answer.
     pub stall: Duration,
 }
 
-/// How a call to an endpoint ended.
+/// Result of a call to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallResult {
-    /// The whole answer was passed on.
+    /// The complete answer was forwarded.
     Complete {
-        /// Tokens that the endpoint reports to have used.
+        /// Number of tokens used, as reported by the endpoint.
         used: Option<units::Tokens>,
     },
-    /// The answer is not whole.
+    /// The answer is missing or incomplete.
     Failed(Failure),
 }
 
-/// Why a call to an endpoint brought no whole answer.
+/// Failure of a call to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Why.
+    /// Reason code.
     pub reason: reason::Refusal,
-    /// Whether the request ran.
+    /// Whether the request ran, as far as the host can tell.
     pub outcome: outcome::Outcome,
-    /// Delay after which the endpoint may be tried again.
+    /// Delay after which the endpoint may be called again.
     pub retry_after: Option<Duration>,
 }
 
--- a/crates/runtime/src/entry/candidates.rs
+++ b/crates/runtime/src/entry/candidates.rs
@@ -1,23 +1,23 @@
-//! The order in which a request is sent to its candidates.
+//! Order in which a request is offered to its candidates.
 
 use pistachiochute_core::reason;
 
 use crate::control;
 
-/// Candidates that are asked before the request waits at the first.
+/// Number of candidates that are tried without queueing before the request may be queued.
 const MAX_SPILL_CANDIDATES: usize = 3;
 
-/// A candidate, and whether the request may wait in its queue.
+/// A candidate, and whether the request may be queued there.
 #[derive(Clone, Copy, Debug)]
 pub struct Placement {
     /// The candidate.
     pub candidate: control::Candidate,
-    /// Whether the request may wait there.
+    /// Whether the request may be queued.
     pub may_queue: bool,
 }
 
-/// Whether the reason tells of the owner rather than of its endpoint, which another host may own
-/// soon.
+/// Whether the failure concerns the owner rather than the endpoint, so that another host may soon
+/// own the endpoint and a retry there may succeed.
 pub const fn owner_may_change(reason: reason::Retry) -> bool {
     match reason {
         reason::Retry::NotOwner
@@ -34,7 +34,8 @@
     }
 }
 
-/// Candidates in their order: each once without waiting, then again with waiting allowed.
+/// Iterator over placements: first the leading candidates without queueing, then all candidates
+/// with queueing allowed.
 #[derive(Debug)]
 pub struct CandidateOrder<'a> {
     candidates: &'a [control::Candidate],
--- a/crates/runtime/src/entry/mod.rs
+++ b/crates/runtime/src/entry/mod.rs
@@ -1,8 +1,8 @@
-//! The side of the host that callers speak to.
+//! The HTTP interface for callers.
 //!
-//! [`crate::listener`] takes connections, [`parse`] bounds what a caller may send and turns an HTTP
-//! request into a [`call::Call`], [`serve`] sends it to owners until one answers, and [`respond`]
-//! writes the answer or the refusal.
+//! [`crate::listener`] accepts connections, [`parse`] validates HTTP requests against the limits of
+//! the settings and turns them into a [`call::Call`], [`serve`] sends the call to owners until one
+//! answers, and [`respond`] writes the answer or the refusal.
 
 pub mod call;
 mod candidates;
@@ -16,18 +16,18 @@
 
 use crate::{clock, control, link, listener, metrics, owner, settings};
 
-/// What the entry threads share.
+/// State shared by the entry threads.
 #[derive(Debug)]
 pub struct Context {
     /// Settings of the host.
     pub settings: Arc<settings::Settings>,
-    /// Requests to the control thread.
+    /// Handle of the control thread.
     pub control: control::Handle,
-    /// Calls to other hosts.
+    /// Links to other hosts.
     pub links: link::Sender,
-    /// The owner side of this host, for endpoints that it owns itself.
+    /// Owner server of this host, for endpoints that the host owns itself.
     pub owner: Arc<owner::Server>,
-    /// Counters of the host.
+    /// Metrics of the host.
     pub metrics: metrics::Metrics,
     /// Log of the host.
     pub log: slog::Logger,
@@ -57,7 +57,7 @@
 }
 
 impl Context {
-    /// Lists the models that the caller's plan may use.
+    /// Lists the models that the caller's plan allows.
     fn models(
         &self,
         req: &listener::Request,
@@ -90,7 +90,7 @@
     request::RequestId(uuid::Uuid::now_v7())
 }
 
-/// Answer to a connection for which the host has no place.
+/// Returns the answer to connections beyond the limit.
 #[must_use]
 pub fn busy_answer() -> bytes::Bytes {
     respond::raw_refusal(&respond::Refused::busy(new_request_id()))
--- a/crates/runtime/src/entry/parse.rs
+++ b/crates/runtime/src/entry/parse.rs
@@ -1,4 +1,4 @@
-//! Reads and checks callers' requests.
+//! Parsing and validation of callers' requests.
 
 use bytes::Bytes;
 use pistachiochute_core::{lists, name, reason, request, time, units};
@@ -10,24 +10,24 @@
 /// Path of chat completions.
 const CHAT_PATH: &str = "/v1/chat/completions";
 
-/// Path under which services are called.
+/// Path prefix of service calls.
 const SERVICES_PATH: &str = "/v1/services/";
 
-/// Header with the caller's name of a chat.
+/// Header with the caller's chat id.
 const CHAT_HEADER: &str = "x-chat-id";
 
 /// Header with the caller's idempotency key.
 const KEY_HEADER: &str = "idempotency-key";
 
-/// Bytes of JSON text that count as one token in the estimate of a prompt.
+/// Bytes of JSON text per token, used to estimate the length of a prompt.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Why a request was refused before it was routed.
+/// Error of a request that failed validation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestError {
     /// Reason code.
     pub reason: reason::Refusal,
-    /// What is wrong, for the caller.
+    /// Message for the caller.
     pub message: String,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Checks a request.
+/// Validates a request and turns it into a call.
 pub fn parse_call(
     mut req: listener::Request,
     bounds: &settings::Bounds,
@@ -143,7 +143,7 @@
     value.map_or_else(Bytes::new, |value| Bytes::copy_from_slice(value.as_bytes()))
 }
 
-/// Digest of the key that the request carries.
+/// Returns the digest of the API key in the `Authorization` header.
 pub fn key_digest(req: &listener::Request) -> Result<lists::KeyDigest, RequestError> {
     let value = header(req, "authorization");
     let key = value.strip_prefix(b"Bearer ").map(<[u8]>::trim_ascii);
@@ -172,7 +172,7 @@
     key.ok_or_else(invalid).map(Some)
 }
 
-/// The body, if it came whole and within its bound.
+/// Takes the body out of the request, or returns why it was truncated or too large.
 fn take_body(
     req: &mut listener::Request,
     bounds: &settings::Bounds,
@@ -184,7 +184,7 @@
     })
 }
 
-/// Fields of a chat completion that routing needs. The body itself is passed on unchanged.
+/// Fields of a chat completion that routing needs. The body itself is forwarded unchanged.
 #[derive(serde::Deserialize)]
 struct ChatBody {
     model: name::ModelName,
@@ -231,8 +231,8 @@
     })
 }
 
-/// A chat without a name is told by its messages up to the first of the user, which are the same
-/// each time it returns.
+/// Derives the id of a chat without one from its messages up to the first user message. These stay
+/// the same in each later request of the chat.
 fn derive_chat_id(messages: &[serde_json::Value]) -> Bytes {
     let is_user = |message: &serde_json::Value| message["role"] == "user";
     let end = messages
@@ -243,7 +243,7 @@
     Bytes::from(start.to_string())
 }
 
-/// Refuses a body that is nested deeper than the bound, before it is parsed.
+/// Refuses a body that is nested too deeply. Runs before the body is parsed.
 fn check_depth(body: &[u8], limit: u32) -> Result<(), RequestError> {
     let mut depth = 0_u32;
     let mut in_string = false;
--- a/crates/runtime/src/entry/respond.rs
+++ b/crates/runtime/src/entry/respond.rs
@@ -1,4 +1,4 @@
-//! Writes answers and refusals to callers.
+//! Answers and refusals to callers.
 
 use std::time::Duration;
 
@@ -10,23 +10,23 @@
 use crate::listener::{Answer, Disconnected, Stream};
 use crate::{control, endpoint, entry};
 
-/// A refusal, or an error in the place of the rest of an answer.
+/// A refusal, or the error that ends an incomplete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refused {
     /// Id of the request.
     pub request: request::RequestId,
     /// Reason code.
     pub reason: reason::Refusal,
-    /// Whether the request ran.
+    /// Whether the request ran, as far as the host can tell.
     pub outcome: outcome::Outcome,
-    /// Delay after which the caller may come back.
+    /// Delay after which the caller may retry.
     pub retry_after: Option<Duration>,
-    /// What happened, for the caller.
+    /// Message for the caller.
     pub message: String,
 }
 
 impl Refused {
-    /// A request that was refused when it was read.
+    /// Refuses a request that failed validation.
     pub fn invalid(request: request::RequestId, error: parse::RequestError) -> Self {
         Self {
             request,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A request that the control thread did not admit.
+    /// Refuses a request that the control thread did not admit.
     pub fn not_admitted(request: request::RequestId, refused: control::Refused) -> Self {
         Self {
             request,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A request for which the host has no thread.
+    /// Refuses a request because all entry threads or connections are in use.
     pub fn busy(request: request::RequestId) -> Self {
         Self {
             request,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A request that is not sent again.
+    /// Refuses a request that is not retried any further.
     pub fn given_up(request: request::RequestId, given_up: retry::GivenUp) -> Self {
         let message = match given_up.reason == given_up.cause {
             true => format!("the request failed: {}", given_up.reason),
@@ -90,16 +90,16 @@
     }
 }
 
-/// Answers with a line of text.
+/// Sends a plain-text answer.
 pub fn text(answer: Answer, status: StatusCode, text: &'static str) {
     let mut response = Response::new(Bytes::from_static(text.as_bytes()));
     *response.status_mut() = status;
     set(&mut response, header::CONTENT_TYPE.as_str(), "text/plain");
-    // The caller may be gone, which nobody needs to know.
+    // The caller may have disconnected, in which case there is nothing left to do.
     let _ = answer.send(response);
 }
 
-/// A JSON answer.
+/// Builds a JSON answer.
 fn json(status: StatusCode, body: String) -> Response<Bytes> {
     let mut response = Response::new(Bytes::from(body));
     *response.status_mut() = status;
@@ -108,7 +108,7 @@
     response
 }
 
-/// Answers with models, in the form of the OpenAI API.
+/// Sends a list of models in the format of the OpenAI API.
 pub fn models(answer: Answer, request: request::RequestId, models: &[name::ModelName]) {
     let model = |name| {
         serde_json::json!({
@@ -119,11 +119,11 @@
     let body = serde_json::json!({ "object": "list", "data": data }).to_string();
     let mut response = json(StatusCode::OK, body);
     set_outcome(&mut response, request, outcome::Outcome::Run);
-    // The caller may be gone, which nobody needs to know.
+    // The caller may have disconnected, in which case there is nothing left to do.
     let _ = answer.send(response);
 }
 
-/// Counts and logs a refusal.
+/// Counts a refusal in the metrics and logs it.
 pub fn record_refusal(cx: &entry::Context, refused: &Refused) {
     cx.metrics.refused(refused.reason);
     slog::info!(cx.log, "refused";
@@ -131,7 +131,7 @@
         "outcome" => %refused.outcome);
 }
 
-/// A refusal as the bytes of an answer that ends its connection.
+/// Encodes a refusal as a complete HTTP answer that closes its connection.
 pub fn raw_refusal(refused: &Refused) -> Bytes {
     let body = refused.body();
     let status = status_of(refused.reason.status());
@@ -145,7 +145,7 @@
     Bytes::from(head + &body)
 }
 
-/// Answers with a refusal.
+/// Sends a refusal.
 pub fn refuse(cx: &entry::Context, answer: Answer, refused: &Refused) {
     record_refusal(cx, refused);
     let mut response = json(status_of(refused.reason.status()), refused.body());
@@ -155,11 +155,11 @@
         let seconds = format!("{seconds:.0}");
         set(&mut response, header::RETRY_AFTER.as_str(), &seconds);
     }
-    // The caller may be gone, which nobody needs to know.
+    // The caller may have disconnected, in which case there is nothing left to do.
     let _ = answer.send(response);
 }
 
-/// Answers with a whole answer of an endpoint.
+/// Sends a complete answer of an endpoint.
 pub fn complete(
     answer: Answer,
     request: request::RequestId,
@@ -169,11 +169,11 @@
     answer.send(endpoint_head(request, head).map(|()| body))
 }
 
-/// Status and headers of an endpoint's answer.
+/// Builds the status and headers for an answer of an endpoint.
 fn endpoint_head(request: request::RequestId, head: &answer::Head) -> Response<()> {
     let mut response = Response::new(());
     *response.status_mut() = status_of(head.status);
-    // A content type that no header can carry is left out.
+    // A content type that is not a valid header value is left out.
     if let Ok(value) = HeaderValue::from_bytes(&head.content_type) {
         response.headers_mut().insert(header::CONTENT_TYPE, value);
     }
@@ -181,7 +181,7 @@
     response
 }
 
-/// Status of a code. One that is none can only come from an endpoint.
+/// Converts a status code. Invalid codes can only come from an endpoint and become 502.
 fn status_of(code: u16) -> StatusCode {
     StatusCode::from_u16(code).unwrap_or(StatusCode::BAD_GATEWAY)
 }
@@ -195,13 +195,13 @@
     set(response, endpoint::OUTCOME_HEADER, outcome.as_str());
 }
 
-/// Sets a header to a value of the host's own.
+/// Sets a header to a value that the host itself produces.
 fn set<B>(response: &mut Response<B>, name: &'static str, value: &str) {
     let value = HeaderValue::from_str(value).expect("values of the host are plain ASCII");
     response.headers_mut().insert(name, value);
 }
 
-/// Begins an answer of an endpoint that is sent piece by piece.
+/// Starts a streamed answer of an endpoint.
 pub fn stream(
     answer: Answer,
     request: request::RequestId,
@@ -212,9 +212,9 @@
     answer.start_stream(response)
 }
 
-/// Ends an answer that is not whole: an error event, and then the connection.
+/// Aborts an incomplete streamed answer: sends an error event and closes the connection.
 pub fn abort(stream: Stream, refused: &Refused) {
     let event = format!("event: error\ndata: {}\n\n", refused.body());
-    // The caller may be gone, which nobody needs to know.
+    // The caller may have disconnected, in which case there is nothing left to do.
     let _ = stream.send_chunk(Bytes::from(event));
 }
--- a/crates/runtime/src/entry/serve.rs
+++ b/crates/runtime/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! Sends a caller's request to owners until one of them answers.
+//! Serving of one caller's request: attempts at owners, retries and delivery of the answer.
 
 use std::thread;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::entry::{call, candidates, respond};
 use crate::{clock, control, entry, link, listener};
 
-/// One request of a caller.
+/// A caller's request while it is served.
 pub struct Exchange<'a> {
     cx: &'a entry::Context,
     request: request::RequestId,
@@ -89,10 +89,9 @@
         }
     }
 
-    /// Where the request is sent next, at the owner that the endpoint has by now.
+    /// Selects the next placement, at the current owner of its endpoint.
     ///
-    /// After the last candidate, the endpoint that failed is asked again if it may have another
-    /// owner since.
+    /// After the last candidate, the failed endpoint is tried again if its owner may have changed.
     fn next_placement(
         &self,
         order: &mut candidates::CandidateOrder<'_>,
@@ -163,7 +162,7 @@
         }
     }
 
-    /// Sends the request once and passes the answer on as it comes.
+    /// Makes one attempt and delivers the answer to the caller as it arrives.
     fn attempt(
         &self,
         caller: &mut Caller<'_>,
@@ -208,7 +207,8 @@
         }
     }
 
-    /// Sends the request to the owner, which may be this host itself. `None` if it is too large.
+    /// Sends the request to the owner, which may be this host. Returns `None` if the request is too
+    /// large to encode.
     fn send(&self, placement: candidates::Placement, head: forward::Forward) -> Option<Replies> {
         let body = self.call.body.clone();
         let Some(addr) = placement.candidate.addr else {
@@ -235,7 +235,7 @@
     }
 }
 
-/// Replies of the owner, which may be this host itself.
+/// Answer frames from the owner.
 enum Replies {
     Local(mpsc::Receiver<answer::Frame>),
     Remote(mpsc::Receiver<link::Received>),
@@ -250,13 +250,13 @@
     }
 }
 
-/// What the caller has of its answer.
+/// Progress of the answer to the caller.
 enum State {
     /// Nothing yet.
     Waiting(listener::Answer),
-    /// The first pieces of a stream.
+    /// The head of a streamed answer has been sent.
     Streaming(listener::Stream),
-    /// All that it will get.
+    /// Nothing more will be sent.
     Done,
 }
 
@@ -265,7 +265,7 @@
     cx: &'a entry::Context,
     request: request::RequestId,
     state: State,
-    /// When the last piece was written, or the request arrived.
+    /// Time of the last write, or arrival of the request before the first write.
     last_write: time::Time,
 }
 
@@ -284,7 +284,7 @@
         }
     }
 
-    /// Writes a part of the answer.
+    /// Writes the next part of the answer.
     fn deliver(&mut self, delivery: answer::Delivery) -> Result<(), listener::Disconnected> {
         let now = clock::now();
         let elapsed = now.since(self.last_write);
@@ -325,7 +325,7 @@
         Ok(State::Streaming(stream))
     }
 
-    /// Ends the request without a whole answer, and returns the outcome that the caller is told.
+    /// Ends the request without a complete answer, and returns the outcome sent to the caller.
     fn refuse(self, refused: &respond::Refused) -> outcome::Outcome {
         match self.state {
             State::Waiting(answer) => respond::refuse(self.cx, answer, refused),
--- a/crates/runtime/src/host/mod.rs
+++ b/crates/runtime/src/host/mod.rs
@@ -1,4 +1,4 @@
-//! One entry host: all of its threads, put together.
+//! An entry host: starts, connects and stops all of its threads.
 
 mod poll;
 
@@ -20,22 +20,23 @@
     thread_pool,
 };
 
-/// Calls to endpoints at once.
+/// Maximum number of concurrent calls to endpoints.
 const OWNER_THREADS: usize = 512;
 
-/// Operators' requests served at once.
+/// Maximum number of operators' requests served concurrently.
 const ADMIN_THREADS: usize = 16;
 
-/// Connections of operators at once.
+/// Maximum number of concurrent operator connections.
 const ADMIN_CONNECTIONS: usize = 64;
 
-/// Bytes beyond the bound on heads up to which a caller is told what is wrong with its request.
+/// Bytes read beyond the limit on request heads, so that an oversized head gets an error answer
+/// rather than a closed connection.
 const HEAD_SLACK_BYTES: usize = 16 << 10;
 
-/// Silence after which a watch of the key-value service connects again.
+/// Idle time after which a watch of the key-value service reconnects.
 const WATCH_IDLE: Duration = Duration::from_secs(30);
 
-/// Time between two looks at whether a drain is complete.
+/// Interval at which a drain checks for remaining requests.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running entry host.
@@ -53,23 +54,23 @@
     journal: journal::Journal,
 }
 
-/// Sockets that a host serves.
+/// Listening sockets of a host.
 #[derive(Debug)]
 pub struct Sockets {
     /// Socket for callers.
     pub callers: net::TcpListener,
-    /// Socket for the links from other hosts.
+    /// Socket for links from other hosts.
     pub links: net::TcpListener,
-    /// Socket for operators and the collector of metrics.
+    /// Socket for operators and metrics collection.
     pub admin: net::TcpListener,
 }
 
 impl Sockets {
-    /// Binds the addresses of the settings.
+    /// Binds the addresses in the settings.
     ///
     /// # Errors
     ///
-    /// Returns an error that names the address that cannot be bound.
+    /// Returns an error naming the address that cannot be bound.
     pub fn bind(listen: &settings::Listen) -> eyre::Result<Self> {
         let bind = |addr: net::SocketAddr| {
             net::TcpListener::bind(addr).wrap_err_with(|| format!("cannot listen on {addr}"))
@@ -82,12 +83,12 @@
     }
 }
 
-/// How a drain ended.
+/// Result of a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainResult {
     /// Every request in progress was answered.
     Complete,
-    /// The upper bound was reached with this many requests in progress.
+    /// The drain timeout expired with this many requests in progress.
     TimedOut(usize),
 }
 
@@ -109,7 +110,7 @@
 }
 
 impl Host {
-    /// Starts every thread of a host.
+    /// Starts all threads of a host.
     ///
     /// # Errors
     ///
@@ -145,7 +146,8 @@
         let (lists, store_sender) =
             sync::StoreSync::start(store.clone(), control.handle(), log.clone())?;
         control.handle().set_store(store_sender);
-        // The replica starts with the first host list, and needs the store by then.
+        // Started after the store sync, because the first host list starts the replica, which reads
+        // the store.
         let host_list =
             poll::HostListPoller::start(&settings.platform, control.handle(), log.clone())?;
         let cx = admin::Context {
@@ -202,14 +204,14 @@
         self.admin.addr()
     }
 
-    /// Handle of the control thread.
+    /// Returns a handle of the control thread.
     #[must_use]
     pub fn control(&self) -> control::Handle {
         self.control.handle()
     }
 
-    /// Takes no more requests and waits until those in progress have been answered, or until the
-    /// upper bound of the settings.
+    /// Stops admitting requests and waits until those in progress have been answered, or until the
+    /// drain timeout of the settings.
     #[must_use]
     pub fn drain(&self) -> DrainResult {
         self.control.handle().drain();
@@ -226,7 +228,8 @@
         }
     }
 
-    /// Ends the host at once. Requests in progress are cut off; call [`Host::drain`] before.
+    /// Stops the host without waiting for requests in progress. Call [`Host::drain`] first to
+    /// finish them.
     pub fn close(self) {
         self.admin.close();
         self.host_list.close();
@@ -234,7 +237,7 @@
         self.links.close();
         self.journal.close();
         self.control.close();
-        // Last, so that what was cut off still gets its answer.
+        // Closed last, so that callers of aborted requests still receive error answers.
         self.listener.close();
     }
 }
@@ -269,10 +272,10 @@
     }
 }
 
-/// Silence after which a forwarded request has stalled.
+/// Idle time after which a forwarded request counts as stalled.
 ///
-/// It is longer than that of an endpoint by the time in which the owner resumes there, so that the
-/// sender does not start an attempt that competes with the owner's for the same answer.
+/// It exceeds the stall timeout of endpoints by the time that the owner needs to resume there.
+/// Otherwise the sender could start an attempt that competes with the owner's for the same answer.
 fn link_stall(timeouts: &settings::Timeouts) -> Duration {
     2 * timeouts.stall + timeouts.connect
 }
--- a/crates/runtime/src/host/poll.rs
+++ b/crates/runtime/src/host/poll.rs
@@ -1,4 +1,4 @@
-//! Polls the platform's host list.
+//! Polling of the platform's host list.
 
 use std::thread;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use crate::platform::host_list;
 use crate::{control, settings};
 
-/// A thread that reads the host list and gives it to the control thread.
+/// A thread that reads the host list periodically and passes it to the control thread.
 #[derive(Debug)]
 pub struct HostListPoller {
     stop: channel::Sender<()>,
@@ -16,11 +16,11 @@
 }
 
 impl HostListPoller {
-    /// Starts the thread.
+    /// Starts polling.
     ///
     /// # Errors
     ///
-    /// Returns an error if the thread cannot be made.
+    /// Returns an error if the thread cannot be started.
     pub fn start(
         cfg: &settings::Platform,
         control: control::Handle,
@@ -35,7 +35,7 @@
         Ok(Self { stop, thread })
     }
 
-    /// Ends the thread.
+    /// Stops the thread and waits for it to end.
     pub fn close(self) {
         drop(self.stop);
         let _ = self.thread.join();
@@ -57,7 +57,7 @@
                 control.update_host_list(list);
             }
             Err(e) => {
-                // The last list stays in use; an outage is logged once.
+                // The last list stays in use. Only the first failure of an outage is logged.
                 if !failing {
                     slog::warn!(log, "host list cannot be read"; "error" => %e);
                 }
--- a/crates/runtime/src/journal/mod.rs
+++ b/crates/runtime/src/journal/mod.rs
@@ -1,8 +1,8 @@
-//! Runs the journal of actions against the key-value service.
+//! Journal of actions in the key-value service, which makes actions run at most once.
 //!
-//! One thread holds the machine of `pistachiochute_core::journal`. Its calls to the service block,
-//! so each is made on a thread of a small pool, which gives the answer back as an event. Threads
-//! that carry requests wait for the decision on their own attempt.
+//! One thread runs the state machine of `pistachiochute_core::journal`. Calls to the service block,
+//! so they run on a small thread pool, which returns the results as events. Threads that serve
+//! requests wait for the decision on their attempt.
 
 mod reservation;
 mod store;
@@ -21,16 +21,16 @@
 
 pub use reservation::{Decision, Permit, Reservation};
 
-/// Calls to the key-value service at once.
+/// Maximum number of concurrent calls to the key-value service.
 const STORE_THREADS: usize = 16;
 
-/// Commands that wait for the journal's thread.
+/// Capacity of the command channel.
 const COMMAND_BUFFER: usize = 4_096;
 
-/// Longest time between two looks at the clock.
+/// Maximum time between two timer ticks of the state machine.
 const MAX_TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest time that the outcomes of ended actions may take to be recorded when the host stops.
+/// Maximum time to record the outcomes of finished actions when the host stops.
 const CLOSE_WAIT: Duration = Duration::from_secs(2);
 
 pub(crate) enum Command {
@@ -42,7 +42,7 @@
     Close,
 }
 
-/// Handle with which threads that carry requests use the journal.
+/// Handle through which threads that serve requests use the journal.
 #[derive(Clone, Debug)]
 pub struct Handle {
     tx: channel::Sender<Command>,
@@ -83,13 +83,13 @@
         Ok(Self { handle, thread })
     }
 
-    /// Handle for other threads.
+    /// Returns a handle for other threads.
     #[must_use]
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Records the outcomes of ended actions, within a bound, and ends the journal.
+    /// Records the outcomes of finished actions for a limited time, and stops the journal.
     pub fn close(self) {
         let _ = self.handle.tx.send(Command::Close);
         let _ = self.thread.join();
@@ -107,7 +107,7 @@
     }
 }
 
-/// Reads the wall clock, for the age of keys.
+/// Reads the wall clock, from which the age of keys is computed.
 pub(crate) fn wall_clock() -> journal::UnixMillis {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     journal::UnixMillis(since.unwrap_or_default().as_millis() as u64)
@@ -115,7 +115,8 @@
 
 struct Worker {
     journal: journal::Journal,
-    /// Threads that wait for the decision on their attempt. Bounded by the threads of the owner.
+    /// Threads that wait for the decision on their attempt. The size of the owner's thread pool
+    /// limits their number.
     waiting: HashMap<journal::AttemptId, channel::Sender<Decision>>,
     store: Arc<store::Store>,
     pool: thread_pool::Pool,
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Time until the machine has to look at its clock.
+    /// Time until the next timer tick of the state machine.
     fn time_to_wakeup(&self) -> Duration {
         let due = self.journal.wakeup();
         due.map_or(MAX_TICK_INTERVAL, |due| {
@@ -174,7 +175,8 @@
         }
     }
 
-    /// Makes a call on a thread of its own. A call for which there is none surely has no effect.
+    /// Makes a call on a thread of the pool. If no thread is free, the call is not sent, which
+    /// the state machine may treat as a call without effect.
     fn call(&self, effect: journal::Effect) {
         let not_sent = store::not_sent(&effect);
         let store = Arc::clone(&self.store);
@@ -187,7 +189,7 @@
         if self.pool.run(call).is_err()
             && let Some(event) = not_sent
         {
-            // The journal's own thread must not wait for room in its own channel.
+            // The journal's thread must not block on its own command channel.
             let tx = self.tx.clone();
             thread::spawn(move || {
                 let _ = tx.send(Command::Event(event));
--- a/crates/runtime/src/journal/reservation.rs
+++ b/crates/runtime/src/journal/reservation.rs
@@ -1,4 +1,4 @@
-//! The wait of one thread for the decision on its attempt.
+//! Reservation of an attempt: waits for the decision of the journal.
 
 use std::time::Duration;
 
@@ -8,33 +8,34 @@
 
 use crate::journal::{Command, Handle, wall_clock};
 
-/// Time between two looks at whether the caller is still there.
+/// Interval at which a waiting thread checks whether its caller is still connected.
 const CALLER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What becomes of an attempt.
+/// Decision of the journal on an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It may be dispatched, once.
+    /// The attempt may be dispatched once.
     Dispatch {
-        /// Time after which it must not be.
+        /// Time after which it must not be dispatched.
         not_after: journal::UnixMillis,
     },
-    /// Its caller gets this answer.
+    /// The attempt is not dispatched, and this answer is sent to the caller.
     Answer(journal::Answer),
 }
 
-/// The reservation of one attempt, or why there is none.
+/// Result of [`Handle::reserve`].
 #[derive(Debug)]
 pub enum Reservation {
-    /// The attempt may be dispatched now, and its end has to be recorded.
+    /// The attempt may be dispatched now, and its result must be recorded.
     Permitted(Permit),
-    /// The caller gets this answer.
+    /// The attempt is not dispatched, and this answer is sent to the caller.
     Answer(journal::Answer),
-    /// The caller went away, or the host is closing. The attempt is not dispatched.
+    /// The caller disconnected, the permission expired, or the host is stopping. The attempt is not
+    /// dispatched.
     Dropped,
 }
 
-/// Permission to dispatch one attempt once.
+/// Permission to dispatch an attempt once.
 #[derive(Debug)]
 pub struct Permit {
     handle: Handle,
@@ -42,7 +43,7 @@
 }
 
 impl Permit {
-    /// Uses the permission up and records how the attempt ended.
+    /// Consumes the permission and records the result of the attempt.
     pub fn record_result(self, result: journal::AttemptResult) {
         let attempt = self.attempt;
         self.handle
@@ -51,8 +52,8 @@
 }
 
 impl Handle {
-    /// Reserves a new attempt of an action. Waits until it may be dispatched or is answered, for as
-    /// long as `wanted` holds.
+    /// Reserves a new attempt of an action. Blocks until the attempt may be dispatched or is
+    /// answered, or until `wanted` returns false.
     pub fn reserve<F>(
         &self,
         head: &forward::Forward,
@@ -101,7 +102,8 @@
                 Err(channel::RecvTimeoutError::Timeout) if wanted() => {}
                 Err(channel::RecvTimeoutError::Timeout) => {
                     self.send_event(journal::Event::Cancel(attempt));
-                    // A decision that was made before the cancellation is used up here.
+                    // A permission granted before the cancellation is consumed here, so that the
+                    // action is recorded as not run.
                     if let Ok(Decision::Dispatch { .. }) = rx.recv() {
                         let result = journal::AttemptResult::NotRun;
                         self.send_event(journal::Event::Finished { attempt, result });
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Checks the clock once more: the thread may have been stopped since the decision.
+    /// Checks the deadline again, because the thread may have been suspended since the decision.
     fn permit(&self, attempt: journal::AttemptId, not_after: journal::UnixMillis) -> Reservation {
         let handle = self.clone();
         let permit = Permit { handle, attempt };
@@ -124,7 +126,8 @@
     }
 
     fn send_event(&self, event: journal::Event) {
-        // A journal that has ended records nothing more; repeats then get "unknown".
+        // A stopped journal records nothing more. Repeats of the action are then answered with the
+        // outcome "unknown".
         let _ = self.tx.send(Command::Event(event));
     }
 }
--- a/crates/runtime/src/journal/store.rs
+++ b/crates/runtime/src/journal/store.rs
@@ -1,7 +1,7 @@
-//! Shards of the journal as values of the key-value service.
+//! Shards of the journal, stored as values of the key-value service.
 //!
-//! A shard is removed by a lease of the service that outlives the retention window of every key
-//! that the shard can hold, so no host has to delete it.
+//! Shards are written with a lease that outlives the retention period of every key that the shard
+//! can hold. The service deletes a shard when its lease expires, so no host has to.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -12,25 +12,25 @@
 use crate::clock;
 use crate::platform::key_value;
 
-/// Prefix of the keys of shards.
+/// Key prefix of shards.
 const PREFIX: &str = "journal/";
 
-/// Time for which one lease is put on the shards that are written.
+/// Time during which one lease is attached to the shards that are written.
 const LEASE_REUSE_PERIOD: Duration = Duration::from_secs(60);
 
-/// Time by which a lease outlives the shards beyond need.
+/// Safety margin added to the lifetime of a lease.
 const LEASE_MARGIN: Duration = Duration::from_secs(60);
 
 /// Shards of the journal in the key-value service.
 pub struct Store {
     service: Arc<dyn key_value::KeyValue>,
-    /// Time after which a new lease lapses.
+    /// Time to live of a new lease.
     ttl: Duration,
-    /// Lease for the shards that are written, and when it was granted.
+    /// Current lease, and when it was granted.
     lease: Mutex<Option<(key_value::LeaseId, time::Time)>>,
 }
 
-/// Event for a call that was not made.
+/// Returns the event for a call that was not sent.
 pub fn not_sent(effect: &journal::Effect) -> Option<journal::Event> {
     match effect {
         journal::Effect::Read { call, .. } => Some(journal::Event::ReadFailed(*call)),
@@ -40,7 +40,7 @@
 }
 
 impl Store {
-    /// Uses a key-value service.
+    /// Creates a store on a key-value service.
     pub fn new(service: Arc<dyn key_value::KeyValue>, window: &journal::Window) -> Self {
         let retained_ms =
             window.retention_ms + window.ahead_ms + window.segment_ms + 2 * window.skew_ms;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Makes a call and returns its answer as an event.
+    /// Makes a call and returns its result as an event.
     pub fn call(&self, effect: journal::Effect) -> Option<journal::Event> {
         match effect {
             journal::Effect::Read { call, shard } => Some(self.read(call, shard)),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// A lease that outlives every shard that is written now.
+    /// Returns a lease that outlives every shard that is written now, granting a new one if needed.
     fn lease(&self) -> Option<key_value::LeaseId> {
         let now = clock::now();
         let mut lease = self.lease.lock().unwrap_or_else(PoisonError::into_inner);
@@ -126,7 +126,7 @@
         Some(id)
     }
 
-    /// Takes a new lease with the next swap, in case the service refused this one.
+    /// Drops the current lease, in case the service rejected it. The next swap grants a new one.
     fn drop_lease(&self) {
         *self.lease.lock().unwrap_or_else(PoisonError::into_inner) = None;
     }
@@ -136,7 +136,7 @@
     Bytes::from(format!("{PREFIX}{shard}"))
 }
 
-/// Content of the one shard that was read, or `None` if its value is not a shard.
+/// Decodes the shard that was read, or returns `None` if the value is not a valid shard.
 fn decode_shard(found: &key_value::RangeResult) -> Option<journal::StoredShard> {
     let Some(entry) = found.entries.first() else {
         return Some(journal::StoredShard::default());
--- a/crates/runtime/src/lists/editor.rs
+++ b/crates/runtime/src/lists/editor.rs
@@ -1,4 +1,4 @@
-//! Carries out the edits of operators.
+//! Operators' edits of the lists.
 
 use pistachiochute_core::lists::edit::{Edit, Outcome, Proposals, Resolve, ResolveStep, Resolved};
 use pistachiochute_core::lists::{self, edit, storage};
@@ -7,10 +7,10 @@
 use crate::lists::store;
 use crate::{control, wall_clock};
 
-/// Times that a lost edit is looked up and settled.
+/// Maximum number of rounds to resolve an edit whose answer was lost.
 const MAX_RESOLVE_ROUNDS: u32 = 4;
 
-/// Carries out edits against the store.
+/// Commits edits to the store.
 #[derive(Clone, Debug)]
 pub struct Editor {
     store: store::Store,
@@ -18,19 +18,19 @@
 }
 
 impl Editor {
-    /// Makes an editor that tells the control thread what it has recorded.
+    /// Creates an editor that passes recorded edits to the control thread.
     #[must_use]
     pub fn new(store: store::Store, control: control::Handle) -> Self {
         Self { store, control }
     }
 
-    /// The store of the lists.
+    /// Returns the store of the lists.
     #[must_use]
     pub fn store(&self) -> &store::Store {
         &self.store
     }
 
-    /// Carries out an edit to its end.
+    /// Runs an edit until it is recorded or rejected.
     pub fn edit<F>(
         &self,
         id: storage::EditId,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Finds out whether an edit was recorded whose answer was lost.
+    /// Determines whether an edit whose answer was lost has been recorded.
     #[must_use]
     pub fn resolve(&self, id: storage::EditId) -> Resolved {
         let fence = storage::EditId(uuid::Uuid::now_v7());
--- a/crates/runtime/src/lists/store.rs
+++ b/crates/runtime/src/lists/store.rs
@@ -1,4 +1,4 @@
-//! Reads and writes of the lists.
+//! Reads and writes of the lists in the key-value service.
 
 use std::fmt;
 use std::sync::Arc;
@@ -14,9 +14,9 @@
 /// Why the lists could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// The service did not answer.
+    /// The call to the service failed.
     Unavailable(key_value::Error),
-    /// A value cannot be read.
+    /// A stored value is invalid.
     Corrupt(storage::CorruptValue),
 }
 
@@ -43,10 +43,10 @@
     }
 }
 
-/// The lists and the guard of their head, at one revision of the store.
+/// The lists and the version of their head key, read at one revision of the store.
 #[derive(Clone, Debug)]
 pub struct ReadLists {
-    /// Guard of the head.
+    /// Version of the head key, compared when an edit is committed.
     pub cas_version: edit::CasVersion,
     /// The lists.
     pub stored: storage::StoredLists,
@@ -54,7 +54,7 @@
     pub revision: pistachiochute_core::revision::Revision,
 }
 
-/// The lists in the key-value service.
+/// Store of the lists in the key-value service.
 #[derive(Clone)]
 pub struct Store {
     kv: KeyValue,
@@ -67,7 +67,7 @@
 }
 
 impl Store {
-    /// Uses a key-value service.
+    /// Creates a store on a key-value service.
     #[must_use]
     pub fn new(kv: KeyValue) -> Self {
         Self { kv }
@@ -77,16 +77,16 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the service does not answer or a value cannot be read.
+    /// Returns an error if the call to the service fails or a stored value is invalid.
     pub fn read(&self) -> Result<ReadLists, Error> {
         read_lists(&self.kv.range(&prefix(storage::PREFIX))?)
     }
 
-    /// Reads the lists and the last edits, oldest first, as they stand at one revision.
+    /// Reads the lists and the last edits, oldest first, at one revision of the store.
     ///
     /// # Errors
     ///
-    /// Returns an error if the service does not answer or a value cannot be read.
+    /// Returns an error if the call to the service fails or a stored value is invalid.
     pub fn read_with_history(&self) -> Result<(ReadLists, Vec<storage::Record>), Error> {
         let keys = [storage::PREFIX, storage::HISTORY];
         let txn = key_value::Txn {
@@ -107,13 +107,13 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the service does not answer or a value cannot be read.
+    /// Returns an error if the call to the service fails or a stored value is invalid.
     pub fn history(&self) -> Result<Vec<storage::Record>, Error> {
         let found = self.kv.range(&prefix(storage::HISTORY))?;
         read_history(&found)
     }
 
-    /// Commits an edit if the head still has the guard.
+    /// Commits an edit if the head key still has this version.
     #[must_use]
     pub fn commit(
         &self,
@@ -123,11 +123,11 @@
         self.write(cas_version, storage::writes(record))
     }
 
-    /// Writes lists back to a store that has fallen behind.
+    /// Restores lists to a store that has fallen behind.
     ///
     /// # Errors
     ///
-    /// Returns an error if the service does not answer or a value cannot be read.
+    /// Returns an error if the call to the service fails or a stored value is invalid.
     pub fn repair(
         &self,
         expected: lists::Version,
@@ -142,11 +142,11 @@
         Ok(self.write(read.cas_version, writes))
     }
 
-    /// Watches the history after a revision of the store.
+    /// Watches the history for edits after a revision of the store.
     ///
     /// # Errors
     ///
-    /// Returns an error if the thread of the watch cannot be started.
+    /// Returns an error if the watch thread cannot be started.
     pub fn watch(
         &self,
         after: pistachiochute_core::revision::Revision,
--- a/crates/runtime/src/lists/sync.rs
+++ b/crates/runtime/src/lists/sync.rs
@@ -1,7 +1,7 @@
 //! Calls to the store for the replica of the control thread.
 //!
-//! The calls block, so they run on a thread of their own, which tells the control thread what
-//! came of them. While the host is a watcher, the same thread waits on the watch.
+//! The calls block, so they run on their own thread, which sends the results to the control thread.
+//! While the host is a watcher, the same thread receives the events of the watch.
 
 use std::sync::Arc;
 use std::thread;
@@ -16,24 +16,24 @@
 use crate::platform::key_value;
 use crate::{control, wall_clock};
 
-/// Commands that may wait for the thread.
+/// Capacity of the command channel.
 const COMMAND_BUFFER: usize = 64;
 
-/// Pause before a watch that could not be started is tried again.
+/// Delay before the watch is started again after a failure.
 const WATCH_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What the control thread wants of the store.
+/// Command of the control thread for the store.
 #[derive(Clone, Debug)]
 pub enum StoreCommand {
-    /// Read the lists. The host has this version.
+    /// Read the lists. The replica has this version.
     Read(lists::Version),
-    /// Deliver each later edit.
+    /// Watch the store and deliver each new edit.
     Watch,
-    /// End the watch.
+    /// Stop the watch.
     Unwatch,
-    /// Write lists back to a store that has fallen behind.
+    /// Restore lists to a store that has fallen behind.
     Repair {
-        /// Version that the store must still have.
+        /// Version that the store must still be at.
         expected: lists::Version,
         /// Delta to the version to write.
         delta: lists::Delta,
@@ -42,14 +42,15 @@
     },
 }
 
-/// Handle with which the control thread gives orders. Never blocks.
+/// Handle through which the control thread sends commands. Never blocks.
 #[derive(Clone, Debug)]
 pub struct StoreSender {
     tx: channel::Sender<StoreCommand>,
 }
 
 impl StoreSender {
-    /// Gives an order. The replica repeats what is not answered, so a full channel loses nothing.
+    /// Sends a command, or drops it if the channel is full. The replica repeats commands that are
+    /// not answered.
     pub fn send(&self, command: StoreCommand) {
         let _ = self.tx.try_send(command);
     }
@@ -67,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the thread cannot be made.
+    /// Returns an error if the thread cannot be started.
     pub fn start(
         store: store::Store,
         control: control::Handle,
@@ -88,7 +89,7 @@
         Ok((Self { stop, thread }, StoreSender { tx }))
     }
 
-    /// Ends the thread.
+    /// Stops the thread and waits for it to end.
     pub fn close(self) {
         drop(self.stop);
         let _ = self.thread.join();
@@ -100,7 +101,7 @@
     control: control::Handle,
     log: slog::Logger,
     watch: Option<key_value::Watch>,
-    /// Whether the last read failed, so that an outage is logged once.
+    /// Whether the last read failed. Only the first failure of an outage is logged.
     failing: bool,
 }
 
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Starts the watch at the present revision. What came before is found by the next read.
+    /// Starts the watch at the current revision. Earlier edits are found by the next read.
     fn start_watch(&mut self) {
         if self.watch.is_some() {
             return;
@@ -175,7 +176,7 @@
         match self.store.watch(after) {
             Ok(watch) => self.watch = Some(watch),
             Err(e) => {
-                slog::warn!(self.log, "watch cannot be started"; "error" => %e);
+                slog::warn!(self.log, "cannot start the watch of the lists"; "error" => %e);
                 thread::sleep(WATCH_RETRY_DELAY);
             }
         }
@@ -209,7 +210,7 @@
     }
 
     fn handle_change(&self, change: &key_value::Change) {
-        // A removal makes room in the history and changes no list.
+        // Deletions only trim the history and change no list.
         let key_value::Change::Put(entry) = change else {
             return;
         };
@@ -226,8 +227,8 @@
             at_ms: wall_clock::now_ms(),
             delta: delta.clone(),
         };
-        slog::warn!(self.log, "store is behind and gets the lists back"; "was" => ?expected);
-        // An answer that was lost is found by the next read.
+        slog::warn!(self.log, "store is behind; restoring the lists"; "was" => ?expected);
+        // If the answer is lost, the next read finds the result.
         if self.store.repair(expected, lists, &record) == Ok(edit::CommitResult::Committed) {
             self.control.handle_recorded_delta(delta);
         }
--- a/crates/runtime/src/owner/mod.rs
+++ b/crates/runtime/src/owner/mod.rs
@@ -1,4 +1,4 @@
-//! The side of the host that calls the endpoints it owns.
+//! Server for forwarded requests, which calls the endpoints that this host owns.
 
 use std::net;
 use std::sync::Arc;
@@ -14,10 +14,10 @@
 
 use crate::{control, endpoint, journal, link, thread_pool};
 
-/// Time between two looks at whether the caller of queued work is still there.
+/// Interval at which queued work checks whether its caller is still connected.
 const CALLER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Serves forwarded requests for the endpoints that this host owns.
+/// Serves forwarded requests for endpoints that this host owns.
 #[derive(Debug)]
 pub struct Server {
     control: control::Handle,
@@ -27,7 +27,7 @@
 }
 
 impl Server {
-    /// Makes a server that calls endpoints on the threads of `pool`.
+    /// Creates a server that calls endpoints on the threads of `pool`.
     #[must_use]
     pub fn new(
         control: control::Handle,
@@ -43,7 +43,7 @@
         })
     }
 
-    /// Serves a request; replies go to `tx`.
+    /// Serves a request. Frames of the answer are sent to `tx`.
     pub fn serve(&self, head: forward::Forward, body: Bytes, tx: mpsc::Sender<answer::Frame>) {
         let refused = answer::Frame {
             request: head.request,
@@ -63,12 +63,12 @@
             tx: tx.clone(),
         };
         if self.pool.run(move || work.run()).is_err() {
-            // The channel of a new request has room.
+            // The channel of a new request is empty, so this does not fail for lack of room.
             let _ = tx.try_send(refused);
         }
     }
 
-    /// Serves a request of this host's own callers.
+    /// Serves a request of a caller of this host, and returns the frames of the answer.
     #[must_use]
     pub fn serve_local(
         &self,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Waits for the decision that ends the wait. Work whose caller went away is taken back.
+    /// Waits until the work is dispatched or refused. Cancels work whose caller has disconnected.
     fn wait(
         &self,
         decisions: &channel::Receiver<control::OfferDecision>,
@@ -141,7 +141,8 @@
         }
     }
 
-    /// Calls the endpoint. An action with a key is dispatched only with a permit of the journal.
+    /// Calls the endpoint. An action with an idempotency key is dispatched only with a permit of
+    /// the journal.
     fn call(&self, addr: net::SocketAddr, mut sender: endpoint::AnswerSender) {
         let action = self.head.idempotency == request::Idempotency::AtMostOnce;
         let Some(key) = self.head.idempotency_key.filter(|_| action) else {
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Sends the request to the endpoint and passes its answer on.
+    /// Sends the request to the endpoint and forwards its answer.
     fn dispatch(
         &self,
         addr: net::SocketAddr,
@@ -206,13 +207,13 @@
         (result, sender)
     }
 
-    /// Gives the place at the endpoint back.
+    /// Frees the slot at the endpoint.
     fn release_slot(&self, used: Option<units::Tokens>) {
         self.control.finish(self.head.endpoint, self.id(), used);
     }
 }
 
-/// Sends how the call ended.
+/// Sends the last frame of the answer: its end, or the failure.
 fn send_result(result: endpoint::CallResult, sender: endpoint::AnswerSender) {
     let _ = match result {
         endpoint::CallResult::Complete { used } => sender.finish(used),
@@ -224,7 +225,7 @@
     };
 }
 
-/// How an action ended, for its record. An action whose answer is not whole may have run.
+/// Result of an action for the journal. An action whose answer is incomplete may have run.
 fn attempt_result(
     result: &endpoint::CallResult,
     sender: &endpoint::AnswerSender,
@@ -247,7 +248,7 @@
     }
 }
 
-/// What the end of a call shows of the endpoint's health.
+/// What the result of a call shows about the health of its endpoint.
 fn health_observation(result: &endpoint::CallResult) -> Option<health::Observation> {
     match result {
         endpoint::CallResult::Failed(failure) => match failure.reason {
--- a/crates/runtime/tests/actions.rs
+++ b/crates/runtime/tests/actions.rs
@@ -1,4 +1,4 @@
-//! Actions with a key run at most once, over sockets.
+//! End-to-end tests of actions with an idempotency key, which run at most once.
 
 mod support;
 
@@ -16,7 +16,7 @@
     service: service::Service,
 }
 
-/// Status, outcome and body of an answer.
+/// Status, outcome and body of an answer to a call.
 #[derive(Debug)]
 struct ActionAnswer {
     status: u16,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Asks again until the action is no longer in progress.
+/// Repeats the call until the action is no longer in progress.
 fn book_until_settled(callers: net::SocketAddr, key: uuid::Uuid, body: &str) -> ActionAnswer {
     loop {
         let answer = book(callers, key, body);
@@ -235,9 +235,9 @@
     for (host, key) in keys.into_iter().enumerate() {
         assert_eq!(book(booking.callers(host), key, "teacher 7").status, 200);
     }
-    // One of the two owns the service; the other one answers the repeats.
-    let owner = booking.fleet.members.remove(1);
-    owner.host.close();
+    // Host 1 stops and host 0 answers the repeats, whichever of them owned the service.
+    let stopped = booking.fleet.members.remove(1);
+    stopped.host.close();
     for key in keys {
         let repeat = book_until_settled(booking.callers(0), key, "teacher 7");
         assert!(
--- a/crates/runtime/tests/failure_callers.rs
+++ b/crates/runtime/tests/failure_callers.rs
@@ -1,4 +1,5 @@
-//! Callers that send garbage, too much, too slowly or too little lose nothing of others' answers.
+//! Callers that send invalid, oversized, slow or truncated requests do not affect the answers of
+//! other callers.
 
 mod support;
 
@@ -9,10 +10,10 @@
 use pistachiochute_standins::engine;
 use serde_json::{Value, json};
 
-/// Tokens of the stream that goes on beside each bad request.
+/// Tokens of the stream that runs concurrently with the invalid requests.
 const STREAM_TOKENS: u32 = 40;
 
-/// Bound on the time until a connection that is slower than its deadlines is ended.
+/// Time within which the host must close a connection that misses its deadlines.
 const MAX_CONNECTION_TIME: Duration = Duration::from_secs(10);
 
 fn start() -> support::Fleet {
@@ -53,19 +54,19 @@
     socket
 }
 
-/// Everything that the host sends until it closes the connection.
+/// Reads until the host closes the connection.
 fn read_all(mut socket: &TcpStream) -> String {
     let mut answer = Vec::new();
     let read = socket.read_to_end(&mut answer);
-    // The host may reset a connection whose bytes it did not read.
+    // The host may reset a connection with unread data.
     drop(read);
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// Sends raw bytes, ends the sending side, and returns the answer.
+/// Sends raw bytes, shuts down the write side, and returns the answer.
 fn send(callers: SocketAddr, raw: &[u8]) -> String {
     let mut socket = connect(callers);
-    // The host may refuse before it has read everything.
+    // The host may refuse the request before it has read all of it.
     let sent = socket.write_all(raw);
     drop(sent);
     let shut = socket.shutdown(Shutdown::Write);
@@ -73,7 +74,7 @@
     read_all(&socket)
 }
 
-/// Status and error of an answer.
+/// Returns the status and the error of an answer.
 fn refusal(answer: &str) -> (u16, Value) {
     let status = answer.split(' ').nth(1).and_then(|text| text.parse().ok());
     let body = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
@@ -95,8 +96,8 @@
     );
 }
 
-/// Runs `bad` beside a stream of another caller, which has to stay whole, and checks that nothing
-/// but that stream and the chat after it ran.
+/// Runs `send_invalid` during a stream of another caller. Checks that the stream is complete and
+/// that only the stream and one chat after it ran on the engine.
 fn with_concurrent_stream<F>(send_invalid: F)
 where
     F: FnOnce(SocketAddr),
@@ -194,7 +195,7 @@
     });
 }
 
-/// Sends a byte each 100 ms until the host ends the connection.
+/// Sends `first`, then one byte every 100 ms until the host closes the connection.
 fn send_slowly(callers: SocketAddr, first: &str) -> Duration {
     let begin = Instant::now();
     let mut socket = connect(callers);
--- a/crates/runtime/tests/failure_callers_close.rs
+++ b/crates/runtime/tests/failure_callers_close.rs
@@ -1,4 +1,5 @@
-//! A planned stop passes the last bytes of answers on to callers that read slowly.
+//! A host that drains and closes still delivers the last bytes of answers to callers that read
+//! slowly.
 
 mod support;
 
@@ -8,7 +9,7 @@
 use pistachiochute_runtime::host;
 use pistachiochute_standins::engine;
 
-/// Tokens of an answer that is larger than the buffers of its connections.
+/// Tokens of an answer that exceeds the socket buffers of its connections.
 const STREAM_TOKENS: u32 = 1_500;
 
 #[test]
--- a/crates/runtime/tests/failure_callers_slow.rs
+++ b/crates/runtime/tests/failure_callers_slow.rs
@@ -1,4 +1,4 @@
-//! Callers that keep a connection busy before its request is complete are bounded in time and size.
+//! Limits on the time and size of incomplete requests, and on the number of connections.
 
 mod support;
 
@@ -8,7 +8,7 @@
 
 use serde_json::json;
 
-/// Bound on the time until a connection that is slower than its deadlines is ended.
+/// Time within which the host must close a connection that misses its deadlines.
 const MAX_CONNECTION_TIME: Duration = Duration::from_secs(8);
 
 fn start() -> support::Fleet {
@@ -23,7 +23,7 @@
     })
 }
 
-/// Sends `first`, then a byte each 100 ms until the host ends the connection.
+/// Sends `first`, then one byte every 100 ms until the host closes the connection.
 fn send_slowly(callers: SocketAddr, first: &str) -> Duration {
     let begin = Instant::now();
     let mut socket = TcpStream::connect(callers).unwrap();
@@ -85,7 +85,10 @@
     while sent < (64 << 20) && socket.write_all(&block).is_ok() {
         sent += block.len();
     }
-    assert!(sent < (64 << 20), "the host took a header of {sent} bytes");
+    assert!(
+        sent < (64 << 20),
+        "the host accepted a header of {sent} bytes"
+    );
     fleet.close();
 }
 
--- a/crates/runtime/tests/failure_engine.rs
+++ b/crates/runtime/tests/failure_engine.rs
@@ -1,4 +1,4 @@
-//! Engines that cut, stall, refuse or fail: callers get whole answers or explicit errors.
+//! Engines that truncate, stall or refuse answers: callers get complete answers or explicit errors.
 
 mod support;
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// Texts of the tokens of a stream.
+/// Returns the texts of the tokens of a stream.
 fn tokens(events: &[(String, std::time::Instant)]) -> Vec<String> {
     let parse = |data: &str| -> Option<String> {
         let chunk: Value = serde_json::from_str(data).ok()?;
@@ -27,7 +27,7 @@
     events.iter().filter_map(|(data, _)| parse(data)).collect()
 }
 
-/// Checks that tokens are numbered from 1 without a gap and come from one run of the engine.
+/// Checks that the tokens are numbered from 1 without gaps and come from one run of the engine.
 fn assert_one_run(tokens: &[String]) {
     let mut runs = BTreeSet::new();
     for (i, token) in tokens.iter().enumerate() {
@@ -126,8 +126,8 @@
     fleet.close();
 }
 
-/// The engine cuts the stream and then refuses every further request before running it. That
-/// refusal is no proof that the first part did not run.
+/// The engine truncates the stream and then refuses every further request before running it. The
+/// refusal does not prove that the request did not run, since its first part did.
 #[test]
 fn refused_resumption_is_reported_as_run() {
     let fleet = support::Fleet::start(&fleet_config(1));
@@ -144,7 +144,7 @@
         cut_after_tokens: Some(3),
         ..Default::default()
     };
-    // The stream is under way; from here on the engine refuses.
+    // The stream has started. From here on the engine refuses requests.
     set_faults(&fleet, &refuse);
     let (events, end) = support::events(resp);
     end.expect_err("a partial answer ends with an error");
--- a/crates/runtime/tests/failure_hosts.rs
+++ b/crates/runtime/tests/failure_hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts that are killed, cut off or whose links go silent.
+//! Hosts that are killed, partitioned, or whose links stall without being closed.
 
 mod support;
 
@@ -10,10 +10,10 @@
 use pistachiochute_standins::{engine, relay};
 use serde_json::{Value, json};
 
-/// Tokens of a stream that is under way while hosts fail.
+/// Tokens of a stream during which hosts fail.
 const STREAM_TOKENS: u32 = 60;
 
-/// Bound on the time until a caller learns that its host is gone; its own timeout is longer.
+/// Time within which a caller must see that its host has failed. Its own timeout is longer.
 const FAILURE_REPORT_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn fleet_config(domains: u32, hosts: u32, engines: u32) -> support::FleetConfig {
@@ -31,8 +31,8 @@
     }
 }
 
-/// A fleet whose links between hosts run through relays, one for each pair of a failure domain
-/// that sends and a host that receives.
+/// A fleet whose links run through relays, one for each pair of sending failure domain and
+/// receiving host.
 struct RelayedFleet {
     fleet: support::Fleet,
     relays: BTreeMap<(entity::DomainId, entity::HostId), relay::Relay>,
@@ -53,7 +53,7 @@
         fleet
     }
 
-    /// Gives each host the host list with the relays of its failure domain.
+    /// Sends each host the host list with the relay addresses of its failure domain.
     fn publish_host_list(&mut self) {
         self.fleet.list.version += 1;
         for member in &self.fleet.members {
@@ -74,7 +74,7 @@
             .domain
     }
 
-    /// The member that owns the first engine.
+    /// Returns the index of the member that owns the first engine.
     fn owner(&self) -> usize {
         let spread = candidates::Spread::Region;
         let directory = candidates::Directory::new(&self.fleet.list, spread);
@@ -85,8 +85,8 @@
             .expect("an owner")
     }
 
-    /// Kills a host that the others have just seen leave the host list: its connections close and
-    /// its links are refused.
+    /// Kills a host after removing it from the host list: its connections are closed and its links
+    /// refuse connections.
     fn kill(&mut self, index: usize) {
         let member = self.fleet.members.remove(index);
         self.fleet.list.hosts.retain(|entry| entry.id != member.id);
@@ -118,7 +118,7 @@
 
 type Events = Vec<(String, std::time::Instant)>;
 
-/// Checks that the tokens are the first of one run, and returns how many there are.
+/// Checks that the tokens are the first ones of a single run, and returns their number.
 fn tokens_of_one_run(events: &Events) -> u32 {
     let mut runs = BTreeSet::new();
     let mut count = 0;
@@ -139,12 +139,12 @@
     count
 }
 
-/// Checks that a stream is whole, or ends with an explicit error that says that it ran.
+/// Checks that a stream is complete or ends with an error, and returns whether it is complete.
 fn assert_complete_or_error(events: &Events, end: std::io::Result<()>) -> bool {
     let count = tokens_of_one_run(events);
     let done = events.last().is_some_and(|(data, _)| data == "[DONE]");
     if done {
-        end.expect("a whole answer ends well");
+        end.expect("a complete answer ends without an error");
         assert_eq!(count, STREAM_TOKENS);
     } else {
         end.expect_err("a partial answer ends with an error");
@@ -240,7 +240,7 @@
     let cancelled = || fleet.fleet.engines[0].1.counters().cancels > 0;
     assert!(
         support::eventually(cancelled),
-        "the engine goes on for nobody"
+        "the engine was not cancelled"
     );
     assert!(fleet.fleet.engines[0].1.counters().tokens < u64::from(STREAM_TOKENS));
     for member in &fleet.fleet.members {
@@ -285,14 +285,14 @@
             .filter(|((from, to), _)| fleet.domain(*to) != *from);
         between.map(|(_, relay)| relay.bytes()).sum()
     };
-    assert!(crossed() > 0, "no chat went to the other domain");
+    assert!(crossed() > 0, "no request crossed domains");
     fleet.for_links_between_domains(relay::Relay::partition);
     let before = (crossed(), tokens());
     all_answer("cut off");
     assert_eq!(crossed(), before.0);
     assert!(
         tokens().iter().zip(&before.1).all(|(now, then)| now > then),
-        "a domain stood still"
+        "a domain served no requests during the partition"
     );
     fleet.for_links_between_domains(relay::Relay::heal);
     let healed = || {
@@ -301,7 +301,7 @@
     };
     assert!(
         support::eventually(healed),
-        "nothing crosses after the domains rejoined"
+        "no request crossed domains after they were rejoined"
     );
     fleet.close();
 }
--- a/crates/runtime/tests/failure_service.rs
+++ b/crates/runtime/tests/failure_service.rs
@@ -1,5 +1,5 @@
-//! Calls of plain services that may not be repeated: each runs at most once, and what a caller is
-//! told of it is true.
+//! Service calls that may not be repeated: each runs at most once, and the reported outcome agrees
+//! with whether it ran.
 
 mod support;
 
@@ -16,7 +16,7 @@
 }
 
 impl BookingFleet {
-    /// Two hosts before two replicas of the service.
+    /// Starts two hosts and two replicas of the service.
     fn start() -> Self {
         let config = support::FleetConfig {
             settings: json!({
@@ -61,7 +61,7 @@
         self.fleet.members[index].callers
     }
 
-    /// Runs over both replicas of the path.
+    /// Returns how often the path ran, over both replicas.
     fn runs(&self, path: &str) -> u32 {
         let of =
             |replica: &service::Service| replica.counters().by_path.get(path).copied().unwrap_or(0);
@@ -74,7 +74,7 @@
     }
 }
 
-/// Status, outcome and body of a call without a key.
+/// Makes a call without an idempotency key, and returns its status, outcome and body.
 fn call(callers: SocketAddr, path: &str) -> (u16, String, Value) {
     let resp = attohttpc::post(format!("http://{callers}/v1/services/bookings{path}"))
         .header("authorization", format!("Bearer {}", support::API_KEY))
@@ -87,7 +87,7 @@
     (status, outcome, resp.json().unwrap_or_default())
 }
 
-/// Checks a call that failed: what was told agrees with how often it ran.
+/// Checks that the reported outcome of a call agrees with how often it ran.
 fn assert_outcome_matches_runs(bookings: &BookingFleet, path: &str, answer: &(u16, String, Value)) {
     let runs = bookings.runs(path);
     assert!(runs <= 1, "{path} ran {runs} times: {answer:?}");
--- a/crates/runtime/tests/failure_service_stream.rs
+++ b/crates/runtime/tests/failure_service_stream.rs
@@ -1,4 +1,4 @@
-//! A service that streams its answer and is cut: the call may not be repeated, so it is not resumed.
+//! A truncated event stream of a service is not resumed, because the call may not be repeated.
 
 mod support;
 
--- a/crates/runtime/tests/lists.rs
+++ b/crates/runtime/tests/lists.rs
@@ -1,5 +1,5 @@
-//! The lists over sockets: edits, races, lost answers, outages, and hosts that start without the
-//! store.
+//! End-to-end tests of the lists: edits, conflicts, lost answers, outages of the store, and hosts
+//! that start during an outage.
 
 mod support;
 
@@ -241,7 +241,7 @@
     let (status, answer) = admin.add_plan("iron", 6);
     assert_eq!(
         status, 503,
-        "a store that is behind takes no edit: {answer}"
+        "a store that is behind must not record edits: {answer}"
     );
     assert_eq!(answer["error"]["cause"], "store_behind", "{answer}");
     assert!(in_force(&fleet, &revision));
--- a/crates/runtime/tests/membership.rs
+++ b/crates/runtime/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Hosts that die, leave and are cut off, over sockets.
+//! End-to-end tests of hosts that stop or drain and of endpoints that leave.
 
 mod support;
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// Chats of different names through one host, and how many were answered whole.
+/// Sends different chats through one host, and returns how many were answered.
 fn count_answered(callers: std::net::SocketAddr, chats: usize) -> usize {
     let is_complete = |i: &usize| {
         let body = support::chat_body(&format!("chat {i}"), false, 2);
@@ -29,8 +29,8 @@
     let mut fleet = support::Fleet::start(&fleet_config());
     let stopped = fleet.members.remove(0);
     stopped.host.close();
-    // Attempts at the dead owner fail to connect, which proves that nothing ran, and the next
-    // candidate takes the request.
+    // Attempts at the stopped owner fail to connect, which proves that the request did not run, so
+    // it is retried at the next candidate.
     assert_eq!(count_answered(fleet.members[0].callers, 16), 16);
     let owned = || {
         let status = fleet
@@ -101,7 +101,7 @@
     for member in &fleet.members {
         assert_eq!(count_answered(member.callers, 8), 8);
     }
-    assert_eq!(runs(&fleet, 0), before, "no new work");
+    assert_eq!(runs(&fleet, 0), before, "the leaving endpoint got new work");
     for stream in streams {
         let (events, end) = stream.join().unwrap();
         end.unwrap();
--- a/crates/runtime/tests/path.rs
+++ b/crates/runtime/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path over sockets: caller, entry host, owner host, engine.
+//! End-to-end tests of the request path: caller, entry host, owner host, engine.
 
 mod support;
 
@@ -38,7 +38,7 @@
         assert_eq!(events.last().map(|(data, _)| data.as_str()), Some("[DONE]"));
         let generated = fleet.engines[0].1.counters().tokens;
         assert!(generated >= 6);
-        // The first token was read before the last could be made.
+        // The first token arrives before the last one is generated.
         let span = events[events.len() - 1].1 - events[0].1;
         assert!(span >= Duration::from_millis(120), "{span:?}");
     }
--- a/crates/runtime/tests/routing.rs
+++ b/crates/runtime/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Load bound, handover and health over sockets.
+//! End-to-end tests of the load bound, handover and endpoint health.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use pistachiochute_core::topology;
 use pistachiochute_standins::engine;
 
-/// Time between two tokens of the slow engines.
+/// Time per token of the engines.
 const TOKEN_TIME: Duration = Duration::from_millis(25);
 
 fn fleet_config(hosts: u32, engines: u32) -> support::FleetConfig {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Starts a stream of a chat and returns its events and how it ended.
+/// Starts a streamed chat. The thread returns whether the stream is complete, or its error.
 fn stream(
     callers: net::SocketAddr,
     chat: usize,
@@ -66,12 +66,12 @@
             .map(|(_, engine)| engine.counters().runs.len())
             .collect()
     };
-    // Requests that wait start as others end, so the first moment with many is the fullest.
+    // Queued requests start as others end, so the load is highest before the first ones end.
     thread::sleep(TOKEN_TIME * 20);
     let runs = runs();
     let most = runs.iter().max().copied().unwrap_or_default();
     let mean = runs.iter().sum::<usize>() as f64 / ENGINES as f64;
-    // The floor of one request: an engine at the mean may take one more.
+    // The bound allows at least one request more than the mean.
     assert!(most as f64 <= (1.25 * mean).max(mean + 1.0), "{runs:?}");
     for stream in streams {
         assert_eq!(stream.join().expect("a stream"), Ok(true));
--- a/crates/runtime/tests/support/mod.rs
+++ b/crates/runtime/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet on loopback: hosts with links between them, and engines.
+//! Test fleet on loopback: linked hosts, engines and a key-value service.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -17,16 +17,16 @@
 /// API key of the account `farm`.
 pub const API_KEY: &str = "farm-key";
 
-/// Credential of an operator who may edit everything.
+/// Credential of an operator who may edit all accounts and plans.
 pub const OPERATOR: &str = "credential of ana";
 
-/// Credential of an operator who may edit the account `farm` only.
+/// Credential of an operator who may edit only the account `farm`.
 pub const RESTRICTED_OPERATOR: &str = "credential of bo";
 
 /// Model that every engine serves.
 pub const MODEL: &str = "m1";
 
-/// A host and where its callers reach it.
+/// A host with its settings and addresses.
 pub struct Member {
     pub id: entity::HostId,
     pub host: host::Host,
@@ -35,7 +35,7 @@
     pub settings: settings::Settings,
 }
 
-/// Hosts and engines, with one region.
+/// Hosts, engines and a key-value service in one region.
 pub struct Fleet {
     pub members: Vec<Member>,
     pub engines: Vec<(entity::EndpointId, engine::Engine)>,
@@ -50,7 +50,7 @@
     pub engines: u32,
     /// Settings of each engine.
     pub engine: engine::Settings,
-    /// Sections of the settings of each host beside those that the fleet fills.
+    /// Sections to add to the settings of each host, or to replace in them.
     pub settings: Value,
 }
 
@@ -113,7 +113,7 @@
     for (section, value) in extra.as_object().expect("an object of sections") {
         document[section] = value.clone();
     }
-    settings::Settings::parse(&document.to_string()).expect("sound settings")
+    settings::Settings::parse(&document.to_string()).expect("valid settings")
 }
 
 /// Lists with one account that may use [`MODEL`] and the service `bookings`.
@@ -136,7 +136,7 @@
             },
         },
     }))
-    .expect("sound lists")
+    .expect("valid lists")
 }
 
 fn start_host(settings: settings::Settings, sockets: host::Sockets) -> host::Host {
@@ -216,18 +216,21 @@
             key_value,
         };
         fleet.publish_host_list();
-        assert!(eventually(|| fleet.ready()), "the fleet gets ready");
+        assert!(
+            eventually(|| fleet.ready()),
+            "the fleet did not become ready"
+        );
         fleet
     }
 
-    /// Gives every host the host list as it is now.
+    /// Sends the current host list to every host.
     pub fn publish_host_list(&self) {
         for member in &self.members {
             member.host.control().update_host_list(self.list.clone());
         }
     }
 
-    /// Changes the host list and gives it to every host.
+    /// Changes the host list and sends it to every host.
     pub fn update_host_list<F>(&mut self, change: F)
     where
         F: FnOnce(&mut topology::HostList),
@@ -237,7 +240,7 @@
         self.publish_host_list();
     }
 
-    /// Closes a host and starts it again with nothing kept, on the same addresses.
+    /// Closes a host and starts it again without its state, on the same addresses.
     pub fn restart(&mut self, index: usize) {
         let member = self.members.remove(index);
         let settings = member.settings.clone();
@@ -253,7 +256,7 @@
         self.members.insert(index, member);
     }
 
-    /// Whether every host may get requests.
+    /// Whether every host accepts requests.
     pub fn ready(&self) -> bool {
         let statuses = self
             .members
@@ -264,7 +267,7 @@
             .all(|status| status.is_some_and(|status| status.ready))
     }
 
-    /// Records lists in the store and waits until they are in force on every host.
+    /// Records lists in the store and waits until every host has applied them.
     pub fn set_lists(&self, lists: &lists::Lists) {
         let revision = record_lists(self.key_value.addr(), lists);
         let in_force = |member: &Member| {
@@ -276,7 +279,7 @@
         };
         assert!(
             eventually(|| self.members.iter().all(in_force)),
-            "the lists come into force"
+            "the lists were not applied by every host"
         );
     }
 
@@ -291,7 +294,7 @@
     }
 }
 
-/// Records lists in a store, as an edit of the fleet, and returns their revision.
+/// Records lists in a store as an edit by the fleet, and returns their revision.
 pub fn record_lists(addr: net::SocketAddr, lists: &lists::Lists) -> revision::Revision {
     let kv = etcd::Etcd::new(etcd::Settings {
         addrs: vec![addr],
@@ -313,7 +316,7 @@
     record.delta.to.revision
 }
 
-/// Body of a chat.
+/// Builds the body of a chat request.
 pub fn chat_body(text: &str, stream: bool, tokens: u32) -> Value {
     json!({
         "model": MODEL,
@@ -323,7 +326,7 @@
     })
 }
 
-/// Sends a chat as the account `farm`.
+/// Sends a chat request for the account `farm`.
 pub fn chat(callers: net::SocketAddr, body: &Value) -> attohttpc::Result<attohttpc::Response> {
     attohttpc::post(format!("http://{callers}/v1/chat/completions"))
         .header("authorization", format!("Bearer {API_KEY}"))
@@ -332,7 +335,7 @@
         .send()
 }
 
-/// Data of the events of a stream with the time of each, and how the stream ended.
+/// Reads a stream: the data and arrival time of each event, and how the stream ended.
 pub fn events(resp: attohttpc::Response) -> (Vec<(String, Instant)>, Result<(), std::io::Error>) {
     let mut events = Vec::new();
     for line in BufReader::new(resp).lines() {
@@ -348,7 +351,7 @@
     (events, Ok(()))
 }
 
-/// Text of the header, or an empty text.
+/// Returns the value of a header, or an empty string.
 pub fn header(resp: &attohttpc::Response, name: &str) -> String {
     let value = resp
         .headers()
@@ -357,7 +360,7 @@
     value.unwrap_or_default().to_owned()
 }
 
-/// Waits until `holds` or ten seconds have passed, and returns whether it held.
+/// Polls `holds` for up to ten seconds, and returns whether it became true.
 pub fn eventually<F>(mut holds: F) -> bool
 where
     F: FnMut() -> bool,
