--- a/crates/runtime/src/endpoint/events.rs
+++ b/crates/runtime/src/endpoint/events.rs
@@ -70,7 +70,7 @@
 
 fn end_of_stream(len: usize) -> io::Result<Option<Event>> {
     if len as u64 >= MAX_EVENT_LEN {
-        return Err(io::Error::other("event exceeds its bound"));
+        return Err(io::Error::other("event exceeds the maximum length"));
     }
     Ok(None)
 }
--- a/crates/runtime/src/lists/store.rs
+++ b/crates/runtime/src/lists/store.rs
@@ -98,7 +98,10 @@
         };
         let committed = self.kv.txn(&txn)?;
         let [lists, history] = &committed.ranges[..] else {
-            return Err(key_value::Error::unknown("the answer holds no two reads").into());
+            return Err(key_value::Error::unknown(
+                "the transaction answer does not hold two range results",
+            )
+            .into());
         };
         Ok((read_lists(lists)?, read_history(history)?))
     }
