--- a/crates/standins/src/engine/chat.rs
+++ b/crates/standins/src/engine/chat.rs
@@ -223,9 +223,9 @@
         F: FnMut(u32) -> io::Result<()>,
     {
         let Answer { chat, run, .. } = *answer;
-        let seen = chat.resume_after.unwrap_or(0).min(chat.answer_tokens);
-        for number in seen + 1..=chat.answer_tokens {
-            if let Some(outcome) = self.injected_fault(number - 1 - seen) {
+        let received = chat.resume_after.unwrap_or(0).min(chat.answer_tokens);
+        for number in received + 1..=chat.answer_tokens {
+            if let Some(outcome) = self.injected_fault(number - 1 - received) {
                 return outcome;
             }
             // Tokens that an earlier connection generated are only sent again.
--- a/crates/standins/src/engine/load.rs
+++ b/crates/standins/src/engine/load.rs
@@ -90,8 +90,8 @@
     pub(super) fn report(&self, slots: u32) -> Report {
         let history = sync::lock(&self.history);
         let now = Instant::now();
-        let seen = history.iter().rev().find(|(at, _)| *at + self.lag <= now);
-        let sample = seen
+        let reported = history.iter().rev().find(|(at, _)| *at + self.lag <= now);
+        let sample = reported
             .or(history.front())
             .map(|(_, sample)| *sample)
             .unwrap_or_default();
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -15,7 +15,7 @@
 use crate::sync;
 
 /// Pause between two looks at the listening socket.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(2);
+const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Bytes that are read at once.
 const BUFFER_LEN: usize = 16 * 1024;
@@ -108,14 +108,14 @@
     /// Closes all connections and refuses new ones.
     pub fn partition(&self) {
         self.shared.partitioned.store(true, Ordering::Release);
-        self.wait_for(false);
+        self.wait_for_listener(false);
         self.shared.close_connections();
     }
 
     /// Takes connections again.
     pub fn heal(&self) {
         self.shared.partitioned.store(false, Ordering::Release);
-        self.wait_for(true);
+        self.wait_for_listener(true);
     }
 
     /// Discards all further bytes of the connections that are established, and keeps them open.
@@ -146,9 +146,9 @@
         self.shared.delay_ms.store(millis, Ordering::Relaxed);
     }
 
-    fn wait_for(&self, open: bool) {
+    fn wait_for_listener(&self, open: bool) {
         while TcpStream::connect(self.addr).is_ok() != open {
-            thread::sleep(ACCEPT_PAUSE);
+            thread::sleep(ACCEPT_POLL_INTERVAL);
         }
     }
 
@@ -175,14 +175,14 @@
             }
             match listener.as_ref().map(TcpListener::accept) {
                 Some(Ok((socket, _))) => self.connect(socket),
-                _ => thread::sleep(ACCEPT_PAUSE),
+                _ => thread::sleep(ACCEPT_POLL_INTERVAL),
             }
         }
     }
 
     /// Connects a socket to the target. It is closed if the target refuses.
-    fn connect(self: &Arc<Self>, near: TcpStream) {
-        let Ok(connection) = self.pair(near) else {
+    fn connect(self: &Arc<Self>, client: TcpStream) {
+        let Ok(connection) = self.open_connection(client) else {
             return;
         };
         let mut connections = sync::lock(&self.connections);
@@ -190,19 +190,19 @@
         connections.push(connection);
     }
 
-    fn pair(self: &Arc<Self>, near: TcpStream) -> std::io::Result<Connection> {
-        let far = TcpStream::connect(self.target)?;
-        for socket in [&near, &far] {
+    fn open_connection(self: &Arc<Self>, client: TcpStream) -> std::io::Result<Connection> {
+        let upstream = TcpStream::connect(self.target)?;
+        for socket in [&client, &upstream] {
             socket.set_nonblocking(false)?;
             socket.set_nodelay(true)?;
         }
         let connection = Connection {
-            sockets: [near.try_clone()?, far.try_clone()?],
+            sockets: [client.try_clone()?, upstream.try_clone()?],
             blackholed: Default::default(),
             ended: Arc::default(),
         };
-        self.copy(near.try_clone()?, far.try_clone()?, &connection, 0)?;
-        self.copy(far, near, &connection, 1)?;
+        self.copy(client.try_clone()?, upstream.try_clone()?, &connection, 0)?;
+        self.copy(upstream, client, &connection, 1)?;
         Ok(connection)
     }
 
--- a/crates/standins/tests/engine.rs
+++ b/crates/standins/tests/engine.rs
@@ -47,7 +47,7 @@
 }
 
 /// The next events of a stream, up to a number of them, or to its end or cut.
-fn read_events<R>(reader: &mut R, most: usize) -> Vec<(Option<u32>, String, Instant)>
+fn read_events<R>(reader: &mut R, max: usize) -> Vec<(Option<u32>, String, Instant)>
 where
     R: BufRead,
 {
@@ -59,7 +59,7 @@
             id = text.parse().ok();
         } else if let Some(data) = line.strip_prefix("data: ") {
             events.push((id.take(), data.to_owned(), Instant::now()));
-            if events.len() == most {
+            if events.len() == max {
                 break;
             }
         }
