--- a/crates/standins/src/engine/api.rs
+++ b/crates/standins/src/engine/api.rs
@@ -1,4 +1,4 @@
-//! Chat requests and answers in the form of the published API.
+//! Chat requests and answers in the format of the OpenAI API.
 
 use std::io;
 
@@ -8,13 +8,13 @@
 
 use super::{cache, run};
 
-/// Bytes of text that one token of a prompt stands for.
+/// Bytes of prompt text that count as one token.
 const TOKEN_BYTES: usize = 4;
 
-/// Blocks of the prefix cache in tokens.
+/// Tokens in one block of the prefix cache.
 pub(super) const BLOCK_TOKENS: u64 = (cache::BLOCK_BYTES / TOKEN_BYTES) as u64;
 
-/// Most tokens of an answer.
+/// Maximum number of tokens in an answer.
 const MAX_ANSWER_TOKENS: u32 = 32_768;
 
 #[derive(Debug, serde::Deserialize)]
@@ -45,20 +45,20 @@
 }
 
 impl ChatRequest {
-    /// Tokens of the answer; `default` if the request states no maximum.
+    /// Number of tokens in the answer: the maximum of the request, or `default` if it states none.
     pub(super) fn answer_tokens(&self, default: u32) -> u32 {
         let wanted = self.max_completion_tokens.or(self.max_tokens);
         wanted.unwrap_or(default).clamp(1, MAX_ANSWER_TOKENS)
     }
 
-    /// Whether the stream ends with the usage.
+    /// Whether the stream ends with a chunk that contains the usage.
     pub(super) fn include_usage(&self) -> bool {
         self.stream_options
             .as_ref()
             .is_some_and(|opts| opts.include_usage)
     }
 
-    /// Text that the prefix cache works on.
+    /// Text of all messages, on which the prefix cache works.
     pub(super) fn prompt(&self) -> String {
         let mut text = String::new();
         for message in &self.messages {
@@ -75,16 +75,16 @@
     }
 }
 
-/// A chat that has been admitted or waits for it.
+/// A chat that is running or queued.
 pub(super) struct Chat {
     pub(super) id: String,
     pub(super) model: String,
     pub(super) prompt: String,
-    /// Tokens of the answer.
+    /// Number of tokens in the answer.
     pub(super) answer_tokens: u32,
     pub(super) stream: bool,
     pub(super) include_usage: bool,
-    /// Number of the last token that the caller has seen, if it resumes.
+    /// Number of the last token that the caller received, if it resumes the stream.
     pub(super) resume_after: Option<u32>,
 }
 
--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! Prefix cache with limited memory and its events.
+//! Prefix cache with a bounded number of blocks, and the events that it publishes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -10,10 +10,10 @@
 /// Bytes of prompt text in one block of the prefix cache.
 pub const BLOCK_BYTES: usize = 64;
 
-/// Events that are kept for readers; older ones are dropped.
+/// Maximum number of events retained for readers. The oldest is dropped first.
 const MAX_EVENTS: usize = 4096;
 
-/// Hashes of the whole blocks of `text`, each over the block and all before it.
+/// Hashes of the complete blocks of `text`. Each covers its block and all earlier blocks.
 #[must_use]
 pub fn prefix_blocks(text: &[u8]) -> Vec<u64> {
     let mut parent = 0;
@@ -24,7 +24,7 @@
     chain.collect()
 }
 
-/// Blocks of a prefix, in the order of the text; in JSON, 16 hexadecimal digits each.
+/// Hashes of the blocks of a prefix in text order, as 16 hexadecimal digits each.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Prefix {
@@ -62,14 +62,14 @@
 
 #[derive(Debug, serde::Serialize)]
 pub(super) struct Events {
-    /// Number of the oldest event that is still kept.
+    /// Sequence number of the oldest retained event.
     first: u64,
     events: Vec<Event>,
 }
 
 #[derive(Debug, serde::Serialize)]
 pub(super) struct Snapshot {
-    /// Number of the last event that the snapshot includes.
+    /// Sequence number of the last event that the snapshot includes.
     seq: u64,
     #[serde(flatten)]
     prefix: Prefix,
@@ -84,7 +84,8 @@
 #[derive(Debug)]
 pub(super) struct Cache {
     blocks: BTreeMap<u64, Block>,
-    /// Invariant: holds exactly the `used` of each block; the smallest is evicted first.
+    /// Blocks by their `last_used`. Invariant: has exactly one entry for each block. The smallest
+    /// is evicted first.
     lru: BTreeMap<u64, u64>,
     clock: u64,
     max_blocks: usize,
@@ -110,14 +111,14 @@
         }
     }
 
-    /// Stores a prefix and returns how many of its first blocks were cached before.
+    /// Stores a prefix. Returns how many of its leading blocks were already cached.
     pub(super) fn store(&mut self, chain: &[u64]) -> usize {
         let cached = chain
             .iter()
             .take_while(|block| self.blocks.contains_key(block))
             .count();
         let mut stored = Vec::new();
-        // The first block of a prefix is used last, so that prefixes are evicted from their end.
+        // The first block is touched last, so that a prefix is evicted from its end.
         for (i, &block) in chain.iter().enumerate().rev() {
             let parent = i.checked_sub(1).map(|i| chain[i]);
             if !self.touch(block, parent) {
@@ -131,6 +132,7 @@
         cached
     }
 
+    /// Marks a block as used now, and adds it if it is not cached. Returns whether it was cached.
     fn touch(&mut self, block: u64, parent: Option<u64>) -> bool {
         self.clock += 1;
         let before = self.blocks.insert(
@@ -159,6 +161,7 @@
         removed
     }
 
+    /// Publishes an event, unless it is one of those that are dropped.
     fn publish(&mut self, kind: EventKind, blocks: Vec<u64>) {
         if blocks.is_empty() {
             return;
@@ -180,7 +183,7 @@
         self.events.push_back((Instant::now() + self.lag, event));
     }
 
-    /// Published events after number `after`.
+    /// Events with a sequence number above `after` that are old enough to be read.
     pub(super) fn events(&self, after: u64) -> Events {
         let now = Instant::now();
         let due = self
@@ -203,7 +206,7 @@
         }
     }
 
-    /// The prefix that ends with `block`, or `None` if a part of it is not cached.
+    /// The prefix that ends with `block`, or `None` if any of its blocks is not cached.
     pub(super) fn export(&self, block: u64) -> Option<Prefix> {
         let mut chain = Vec::new();
         let mut next = Some(block);
--- a/crates/standins/src/engine/chat.rs
+++ b/crates/standins/src/engine/chat.rs
@@ -1,4 +1,4 @@
-//! Chats: admission, reading the prompt, generating tokens, resuming.
+//! Chats: admission, prefill, token generation and resumption.
 
 use std::io;
 use std::time::Duration;
@@ -12,26 +12,26 @@
 /// Priority of a request without `x-priority`.
 const DEFAULT_PRIORITY: u8 = 0;
 
-/// An answer that is being made.
+/// An answer that is being generated.
 struct Answer<'a> {
     chat: &'a api::Chat,
     run: run::Run,
     /// Prompt tokens that were cached.
     cached: u64,
-    /// Tokens that have not been sent.
+    /// Tokens that have not been sent yet.
     remaining_tokens: u64,
 }
 
 /// How the generation of an answer ended.
 enum Outcome {
     Complete,
-    /// The connection is to be closed without an end.
+    /// The connection is to be closed before the answer is complete.
     Cut,
     /// The connection is to stay open without further tokens.
     Stalled,
-    /// The run was cancelled, resumed elsewhere, or the engine closes.
+    /// The run was cancelled or resumed on another connection, or the engine closes.
     Stopped,
-    /// The caller is gone.
+    /// The caller has disconnected.
     CallerGone,
 }
 
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Runs a chat and returns the tokens of `work` that were not done.
+    /// Runs a chat. Returns the number of tokens of `work` that were not processed.
     fn run(&self, exchange: server::Exchange, chat: &api::Chat, work: u64) -> u64 {
         let run = match chat.resume_after {
             Some(_) => self.runs.resume(&chat.id),
@@ -136,7 +136,8 @@
         answer.remaining_tokens
     }
 
-    /// Reads the part of the prompt that is not cached. Returns the tokens that were.
+    /// Spends the time to process the prompt tokens that are not cached. Returns the number of
+    /// cached tokens.
     fn prefill(&self, chat: &api::Chat) -> u64 {
         let blocks = cache::prefix_blocks(chat.prompt.as_bytes());
         let cached_blocks = sync::lock(&self.cache).store(&blocks) as u64;
@@ -152,6 +153,7 @@
         cached
     }
 
+    /// Multiplies `span` by the `slow_factor` of the faults.
     fn slowed(&self, span: Duration) -> Duration {
         self.faults
             .get()
@@ -217,7 +219,8 @@
         }
     }
 
-    /// Generates the tokens that the caller has not seen, and hands the number of each to `send`.
+    /// Generates the tokens that the caller has not received, and calls `send` with the number of
+    /// each.
     fn generate<F>(&self, answer: &mut Answer<'_>, mut send: F) -> Outcome
     where
         F: FnMut(u32) -> io::Result<()>,
@@ -228,7 +231,7 @@
             if let Some(outcome) = self.injected_fault(number - 1 - received) {
                 return outcome;
             }
-            // Tokens that an earlier connection generated are only sent again.
+            // Tokens that were generated for an earlier connection are resent without delay.
             let fresh = number > run.generated;
             if fresh && !self.control.sleep(self.slowed(self.cfg.token_time)) {
                 return Outcome::Stopped;
@@ -247,7 +250,7 @@
         Outcome::Complete
     }
 
-    /// Ends the answer if a fault is set for it after `sent` tokens.
+    /// How a fault ends the answer after `sent` tokens, if one applies.
     fn injected_fault(&self, sent: u32) -> Option<Outcome> {
         let mut faults = self.faults.lock();
         let outcome = match (faults.cut_after_tokens, faults.stall_after_tokens) {
@@ -258,14 +261,14 @@
         server::take_fault(&mut faults.times).then_some(outcome)
     }
 
-    /// Caches the prompt together with its answer, for the next turn of the chat.
+    /// Caches the prompt and its answer, which are the prefix of the next turn of the chat.
     fn cache_answer(&self, chat: &api::Chat, run: run::Run) {
         let text = format!("{}assistant\n{}\n", chat.prompt, chat.text(run));
         let blocks = cache::prefix_blocks(text.as_bytes());
         sync::lock(&self.cache).store(&blocks);
     }
 
-    /// Counts a run whose caller closed the connection. It can be resumed.
+    /// Counts a run whose caller disconnected. The run can still be resumed.
     fn count_disconnect(&self, chat: &api::Chat, run: run::Run) {
         if self.runs.is_current(&chat.id, run) {
             self.runs.count(|counters| counters.cancels += 1);
--- a/crates/standins/src/engine/commands.rs
+++ b/crates/standins/src/engine/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to an engine and what they led to.
+//! Commands to an engine, and the state that they result in.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,19 +9,19 @@
 
 use crate::{engine, server, sync};
 
-/// Longest wait for the weight store.
+/// Timeout of a read from the weight store.
 const WEIGHTS_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What an engine does with an order whose fencing number is older than one it has seen.
+/// Whether an engine rejects commands whose fencing number is lower than one that it has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fencing {
-    /// It refuses the order.
+    /// Stale commands are rejected with 409.
     Enforced,
-    /// It carries the order out.
+    /// Stale commands are executed.
     Disabled,
 }
 
-/// What an engine is told to do.
+/// A command to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Command {
@@ -35,26 +35,26 @@
     UnloadAdapter(name::ModelName),
     /// Change the role of the engine.
     ChangeRole(String),
-    /// Refuse new chats, or take them again.
+    /// Refuse new chats, or accept them again.
     Drain(bool),
 }
 
-/// An order with its fencing number: the body of `POST /orders`.
+/// A command with its fencing number: the body of `POST /orders`.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 // `expecting` keeps the text of the error answer to a body of another JSON type.
 #[serde(deny_unknown_fields, expecting = "struct Ordered")]
 pub struct FencedCommand {
-    /// Fencing number; a larger one is newer.
+    /// Fencing number; the larger of two is the newer.
     pub fence: u64,
-    /// What to do.
+    /// The command.
     #[serde(rename = "order")]
     pub command: Command,
 }
 
-/// What the orders have led to: the answer of `GET /state`.
+/// State that the commands have resulted in: the answer to `GET /state`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct State {
-    /// Largest fencing number that was seen.
+    /// Largest fencing number received.
     pub fence: u64,
     /// Models that are loaded.
     pub models: BTreeSet<name::ModelName>,
@@ -93,8 +93,8 @@
         sync::lock(&self.state).clone()
     }
 
-    /// Carries out an order, or starts the load that it asks for.
-    /// Returns the state after it, or the newer fencing number.
+    /// Executes a command; a model to load is only marked as loading. Returns the resulting state,
+    /// or the newer fencing number if the command is stale.
     fn apply(&self, fenced: &FencedCommand) -> Result<State, u64> {
         let mut state = sync::lock(&self.state);
         if self.fencing == Fencing::Enforced && fenced.fence < state.fence {
@@ -120,6 +120,7 @@
         Ok(state.clone())
     }
 
+    /// Ends the loading of a model, unless the model was unloaded meanwhile.
     fn finish_load(&self, model: &name::ModelName, loaded: bool) {
         let mut state = sync::lock(&self.state);
         if !state.loading.remove(model) {
@@ -135,6 +136,7 @@
 }
 
 impl engine::Shared {
+    /// Handles `POST /orders`. A model is loaded after the answer is sent.
     pub(super) fn handle_command(&self, exchange: server::Exchange) {
         let fenced = match exchange.json::<FencedCommand>() {
             Ok(fenced) => fenced,
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Reads the weights of a model. Returns false if the weight store refused.
+    /// Loads a model. Returns false if its weights could not be read or the engine closes.
     fn load_model(&self, model: &name::ModelName) -> bool {
         let read = self
             .cfg
--- a/crates/standins/src/engine/load.rs
+++ b/crates/standins/src/engine/load.rs
@@ -1,4 +1,4 @@
-//! Load report that lags behind the truth.
+//! Load reports that lag behind the actual load.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -6,14 +6,14 @@
 
 use crate::sync;
 
-/// Changes that are kept to report from; older ones are dropped.
+/// Maximum number of retained samples. The oldest is dropped first.
 const MAX_HISTORY: usize = 8192;
 
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
 pub(super) struct LoadSample {
     running: u32,
     queued: u32,
-    /// Prompt tokens to read and answer tokens to generate of all requests taken.
+    /// Prompt tokens to process and answer tokens to generate, over all accepted requests.
     tokens: u64,
 }
 
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(super) struct LoadReporter {
     lag: Duration,
-    /// Invariant: never empty, in the order of time.
+    /// Invariant: not empty, in order of time.
     history: Mutex<VecDeque<(Instant, LoadSample)>>,
 }
 
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The load as it was one lag ago.
+    /// The load as it was `lag` ago.
     pub(super) fn report(&self, slots: u32) -> Report {
         let history = sync::lock(&self.history);
         let now = Instant::now();
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -1,20 +1,20 @@
-//! Model engine with the OpenAI-compatible chat API.
+//! Inference engine with an OpenAI-compatible chat API.
 //!
 //! | path | meaning |
 //! |---|---|
-//! | `POST /v1/chat/completions` | runs a chat, whole or as server-sent events |
-//! | `DELETE /v1/requests/ID` | cancels the run with that `x-request-id` |
-//! | `GET /v1/models` | models that are loaded |
-//! | `GET /load` | load report, older than the truth by a set lag |
-//! | `GET /cache/events?after=SEQ` | cache events, late and with gaps |
-//! | `GET /cache/snapshot` | blocks that the prefix cache holds now |
+//! | `POST /v1/chat/completions` | runs a chat; answers with JSON or server-sent events |
+//! | `DELETE /v1/requests/ID` | cancels the run of the request with that `x-request-id` |
+//! | `GET /v1/models` | loaded models |
+//! | `GET /load` | load report, which is [`Settings::load_lag`] old |
+//! | `GET /cache/events?after=SEQ` | cache events, delayed and with gaps |
+//! | `GET /cache/snapshot` | blocks in the prefix cache now |
 //! | `GET /kv/BLOCK`, `PUT /kv/BLOCK` | exports or imports the prefix that ends with a block |
 //! | `POST /orders` | loads and unloads models and adapters, changes the role, drains |
-//! | `GET /state` | what the orders have led to |
+//! | `GET /state` | state that the commands have resulted in |
 //! | `POST /faults` | replaces the [`Faults`] |
 //!
-//! The text of an answer is made from the request id and the number of its run, so that two runs
-//! of one request give two texts and a splice of them shows.
+//! The text of an answer is derived from the request id and the number of the run. Two runs of one
+//! request thus have different texts, so that a test detects an answer spliced from both.
 
 mod api;
 mod cache;
@@ -38,37 +38,38 @@
 /// Settings of an engine.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address to bind; port 0 takes a free one.
+    /// Address to bind; port 0 selects a free port.
     pub listen: SocketAddr,
     /// Models that are loaded at the start.
     pub models: Vec<name::ModelName>,
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Requests that wait for a slot; those beyond are refused before they run.
+    /// Maximum number of requests that wait for a slot. Further requests are refused without being
+    /// run.
     pub queue: usize,
     /// Time to generate one token.
     pub token_time: Duration,
-    /// Time to read one token of the prompt that is not cached.
+    /// Time to process one prompt token that is not cached.
     pub prompt_token_time: Duration,
-    /// Tokens of an answer whose request states no maximum.
+    /// Number of tokens in an answer whose request states no maximum.
     pub answer_tokens: u32,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache in blocks.
     pub cache_blocks: usize,
     /// Age of load reports.
     pub load_lag: Duration,
-    /// Time until a cache event can be read.
+    /// Delay until a cache event can be read.
     pub event_lag: Duration,
-    /// Cache events that are never published, out of 1000.
+    /// Share of cache events that are never published, per mille.
     pub dropped_events_per_mille: u64,
-    /// Seed of the gaps.
+    /// Seed that selects the cache events that are not published.
     pub seed: u64,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether commands with a stale fencing number are rejected.
     pub fencing: Fencing,
-    /// Time to load a model, besides the time of the weight store.
+    /// Time to load a model, in addition to reading its weights.
     pub load_time: Duration,
-    /// Weight store that models are read from.
+    /// Weight store from which models are read.
     pub weight_store: Option<SocketAddr>,
-    /// Faults from the start.
+    /// Faults that are set at the start.
     pub faults: Faults,
 }
 
@@ -99,38 +100,40 @@
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Connections are refused. Only [`Engine::set_faults`] ends this.
+    /// Connections are refused, including those to `/faults`. Only [`Engine::set_faults`] clears
+    /// this.
     pub refuse_connections: bool,
-    /// Requests are taken and never answered; their connections close when the fault ends.
+    /// Requests are accepted and not answered; their connections close when the fault is cleared.
     pub stall: bool,
-    /// An answer goes silent after this many tokens, and its connection stays open.
+    /// An answer stalls after this many tokens, and its connection stays open.
     pub stall_after_tokens: Option<u32>,
-    /// An answer is cut after this many tokens: its connection closes without an end.
+    /// An answer is cut after this many tokens: its connection closes before the answer is
+    /// complete.
     pub cut_after_tokens: Option<u32>,
-    /// Number of answers that are cut or go silent; `None` means each.
+    /// Number of further answers that are cut or stall; `None` means all of them.
     pub times: Option<u32>,
-    /// Factor on the time to read and generate tokens.
+    /// Factor on the time to process prompt tokens and to generate tokens.
     pub slow_factor: Option<f64>,
-    /// Chats are answered with this status before they run.
+    /// Chats are answered with this status without being run.
     pub status: Option<u16>,
 }
 
-/// What an engine has counted since it started.
+/// Counters of an engine since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Number of runs by `x-request-id`. Runs beyond [`run::MAX_COUNTED_IDS`] ids are not listed.
+    /// Runs by `x-request-id`, for the first `run::MAX_COUNTED_IDS` ids.
     pub runs: BTreeMap<String, u32>,
     /// Runs that were continued on another connection.
     pub resumes: u64,
     /// Tokens generated.
     pub tokens: u64,
-    /// Prompt tokens read, without those that were cached.
+    /// Prompt tokens processed, excluding those that were cached.
     pub prompt_tokens: u64,
     /// Prompt tokens that were cached.
     pub cached_tokens: u64,
-    /// Runs that were cancelled or whose caller went away.
+    /// Runs that were cancelled or whose caller disconnected.
     pub cancels: u64,
-    /// Chats refused before they ran.
+    /// Chats that were refused without being run.
     pub refused: u64,
 }
 
@@ -156,13 +159,13 @@
         Ok(Self { shared, server })
     }
 
-    /// What the engine has counted.
+    /// Current counters.
     #[must_use]
     pub fn counters(&self) -> Counters {
         self.shared.runs.counters()
     }
 
-    /// What the orders have led to.
+    /// State that the commands have resulted in.
     #[must_use]
     pub fn state(&self) -> State {
         self.shared.commands.state()
--- a/crates/standins/src/engine/run.rs
+++ b/crates/standins/src/engine/run.rs
@@ -1,4 +1,4 @@
-//! Slots, queue and registry of runs.
+//! Admission of requests by slots and a queue, and the registry of runs.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -7,23 +7,23 @@
 
 use crate::{engine, server, sync};
 
-/// Request ids whose runs are counted.
+/// Maximum number of request ids whose runs are counted.
 pub(super) const MAX_COUNTED_IDS: usize = 200_000;
 
-/// Runs that can be resumed; the oldest is forgotten first.
+/// Maximum number of runs that can be resumed. The oldest is evicted first.
 const MAX_RUNS: usize = 4096;
 
-/// Pause between two looks at whether a waiting request should give up.
+/// Interval at which a waiting request checks whether the engine closes.
 const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A run of a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Run {
-    /// Number of the run among all of the engine; its text is made from it.
+    /// Number of the run among all runs of the engine, from which its text is derived.
     pub(super) number: u64,
-    /// Tokens that have been generated.
+    /// Number of tokens generated so far.
     pub(super) generated: u32,
-    /// Number of the connection that carries the run; larger after each resume.
+    /// Number of the connection that receives the answer, incremented by each resume.
     pub(super) connection: u32,
     cancelled: bool,
 }
@@ -67,7 +67,7 @@
         run
     }
 
-    /// Moves the run of `id` to a new connection; `None` if there is nothing to resume.
+    /// Moves the run of `id` to a new connection. Returns `None` if there is no run to resume.
     pub(super) fn resume(&self, id: &str) -> Option<Run> {
         let mut inner = sync::lock(&self.inner);
         let run = inner.runs.get_mut(id).filter(|run| !run.cancelled)?;
@@ -77,7 +77,7 @@
         Some(run)
     }
 
-    /// Whether the run still belongs to the connection that `run` was given for.
+    /// Whether the run is not cancelled and still belongs to the connection of `run`.
     pub(super) fn is_current(&self, id: &str, run: Run) -> bool {
         let inner = sync::lock(&self.inner);
         let now = inner.runs.get(id);
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Notes that token number `generated` of a run has been generated.
+    /// Records that token number `generated` of a run has been generated.
     pub(super) fn generate(&self, id: &str, generated: u32) {
         let mut inner = sync::lock(&self.inner);
         let Some(run) = inner.runs.get_mut(id) else {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Cancels the run of `id`, so that it cannot be resumed. False if there is none.
+    /// Cancels the run of `id`, so that it cannot be resumed. Returns false if there is none.
     pub(super) fn cancel(&self, id: &str) -> bool {
         let mut inner = sync::lock(&self.inner);
         let Some(run) = inner.runs.get_mut(id).filter(|run| !run.cancelled) else {
@@ -126,11 +126,11 @@
 struct SlotState {
     running: u32,
     next: u64,
-    /// Requests that wait: the most urgent first, then the earliest.
+    /// Waiting requests: the highest priority first, then the earliest.
     waiting: BTreeSet<(Reverse<u8>, u64)>,
 }
 
-/// Bounded concurrency with a bounded queue by priority.
+/// Limits concurrency, with a bounded priority queue of waiting requests.
 #[derive(Debug)]
 pub(super) struct Slots {
     slots: u32,
@@ -172,7 +172,7 @@
         true
     }
 
-    /// Gives a slot back.
+    /// Releases a slot.
     pub(super) fn release(&self) {
         sync::lock(&self.state).running -= 1;
         self.changed.notify_all();
--- a/crates/standins/src/host_list_server.rs
+++ b/crates/standins/src/host_list_server.rs
@@ -1,7 +1,7 @@
-//! Host list of the platform, which lags behind reality.
+//! Server for the platform's host list, with a configurable propagation delay.
 //!
-//! `GET /hosts` answers with a [`topology::HostList`] as JSON. A list that is set becomes visible
-//! after a set lag.
+//! `GET /hosts` answers with a [`topology::HostList`] as JSON. A new list becomes visible to
+//! readers only after the delay.
 
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -12,24 +12,25 @@
 
 use crate::{server, sync};
 
-/// Changes that wait to become visible; beyond them the oldest become visible at once.
+/// Maximum number of lists that wait to become visible. Beyond it the oldest is published early.
 const MAX_PENDING: usize = 1024;
 
 /// Faults of the host list; the default is none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Connections are refused. Only [`HostListServer::set_faults`] ends this.
+    /// Connections are refused, including those to `/faults`. Only
+    /// [`HostListServer::set_faults`] clears this.
     pub refuse_connections: bool,
-    /// Requests are taken and never answered.
+    /// Requests are accepted and not answered while the fault is set.
     pub stall: bool,
     /// Requests are answered 503.
     pub down: bool,
-    /// Answers are cut half-way.
+    /// The connection closes half-way through the body of an answer.
     pub cut: bool,
 }
 
-/// A running host list.
+/// A running host list server.
 #[derive(Debug)]
 pub struct HostListServer {
     shared: Arc<Shared>,
@@ -39,7 +40,7 @@
 server::impl_stand_in!(HostListServer, Faults);
 
 impl HostListServer {
-    /// Starts a host list on a free loopback port.
+    /// Starts a host list server on a free loopback port.
     ///
     /// # Errors
     ///
@@ -48,7 +49,7 @@
         Self::start_on(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), lag, list)
     }
 
-    /// Starts a host list on an address. The first list is visible at once.
+    /// Starts a host list server on an address. `list` is visible at once.
     ///
     /// # Errors
     ///
@@ -72,12 +73,12 @@
         Ok(Self { shared, server })
     }
 
-    /// Replaces the list; the change becomes visible after the lag.
+    /// Replaces the list; readers see the change after the delay.
     pub fn set(&self, list: topology::HostList) {
         sync::lock(&self.shared.lists).set(list);
     }
 
-    /// The newest list, whether it is visible yet or not.
+    /// The list that was set last, even if readers do not see it yet.
     #[must_use]
     pub fn latest(&self) -> topology::HostList {
         let lists = sync::lock(&self.shared.lists);
@@ -88,7 +89,7 @@
             .clone()
     }
 
-    /// Number of reads that were answered.
+    /// Number of times that the list was read, including reads whose answer was cut.
     #[must_use]
     pub fn reads(&self) -> u64 {
         sync::lock(&self.shared.lists).reads
--- a/crates/standins/src/keyvalue/api.rs
+++ b/crates/standins/src/keyvalue/api.rs
@@ -1,14 +1,14 @@
-//! Messages of the JSON form of the etcd v3 API, as far as the stand-in implements it.
+//! Messages of the implemented subset of the etcd v3 API in its JSON form.
 //!
-//! Bytes are base64 and 64-bit numbers are strings. Requests may use either spelling of field
-//! names that the published mapping allows, and numbers as well as strings.
+//! Bytes are encoded as base64 and 64-bit integers as strings. As in the JSON mapping of Protocol
+//! Buffers, requests may use either spelling of field names, and numbers in place of strings.
 
 use base64::Engine as _;
 use base64::prelude::BASE64_STANDARD;
 use bytes::Bytes;
 use serde::de::Error as _;
 
-/// Bytes that JSON carries as base64.
+/// Bytes that are base64 in JSON.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Base64(pub(super) Bytes);
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// A 64-bit number that JSON carries as a string.
+/// A 64-bit integer that is a string in JSON.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Int64(pub(super) i64);
 
@@ -96,7 +96,8 @@
 }
 
 impl Range {
-    /// Whether the range holds `key`. A range end of one zero byte means all keys from the start.
+    /// Whether `key` is in the range. Without a range end, the range is a single key. A range end
+    /// of one zero byte means all keys from the start of the range.
     pub(super) fn contains(&self, key: &Bytes) -> bool {
         let (from, end) = (&self.key.0, &self.range_end.0);
         if end.is_empty() {
@@ -193,7 +194,7 @@
     pub(super) range: Range,
     #[serde(default, alias = "startRevision")]
     pub(super) start_revision: Int64,
-    /// Whether messages without events tell how far the watch has come.
+    /// Whether the watch gets messages without events that report the current revision.
     #[serde(default, alias = "progressNotify")]
     pub(super) progress_notify: bool,
 }
--- a/crates/standins/src/keyvalue/mod.rs
+++ b/crates/standins/src/keyvalue/mod.rs
@@ -1,9 +1,10 @@
-//! Key-value service with a subset of the JSON form of the etcd v3 API.
+//! Key-value service with a subset of the etcd v3 API in its JSON form.
 //!
 //! It implements `/v3/kv/range`, `/v3/kv/put`, `/v3/kv/deleterange`, `/v3/kv/txn`,
 //! `/v3/kv/compaction`, `/v3/lease/grant`, `/v3/lease/keepalive`, `/v3/lease/revoke` and
-//! `/v3/watch`, which answers with a stream of JSON objects. Values hold up to [`MAX_VALUE_BYTES`] bytes.
-//! Each call is counted by its kind; a watch counts as one call however long it waits.
+//! `/v3/watch`, which answers with a stream of JSON objects. Values have at most
+//! [`MAX_VALUE_BYTES`] bytes. Calls are counted by kind; a watch counts as one call regardless of
+//! its duration.
 
 mod api;
 mod store;
@@ -18,41 +19,42 @@
 
 pub use store::MAX_VALUE_BYTES;
 
-/// Longest sleep of a watch between two looks at leases, faults and the end of the service.
+/// Interval at which a watch checks for expired leases, faults and the end of the service.
 const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time without events after which a watch that asked for it is told how far it has come.
+/// Time without events after which a watch with `progress_notify` gets the current revision.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Code of gRPC for a service that cannot be reached.
+/// gRPC code `UNAVAILABLE`.
 const UNAVAILABLE: u32 = 14;
 
-/// Code of gRPC for a malformed request.
+/// gRPC code `INVALID_ARGUMENT`.
 const INVALID_ARGUMENT: u32 = 3;
 
 /// Faults of the key-value service; the default is none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Connections are refused and watches end. Only [`KeyValue::set_faults`] ends this.
+    /// Connections are refused, including those to `/faults`, and watches end. Only
+    /// [`KeyValue::set_faults`] clears this.
     pub refuse_connections: bool,
     /// Calls are answered 503 and have no effect; watches end.
     pub down: bool,
-    /// Calls are taken and never answered, and have no effect; watches go silent.
+    /// Calls are accepted but not answered, and have no effect; watches send no messages.
     pub stall: bool,
     /// Delay before each call takes effect, in milliseconds.
     pub delay_ms: u64,
-    /// Number of writes that take effect and whose answer is lost.
+    /// Number of further writes that take effect but whose connection closes without an answer.
     pub lost_answers: u32,
-    /// Number of writes that have no effect and whose connection closes.
+    /// Number of further writes that have no effect and whose connection closes without an answer.
     pub lost_writes: u32,
-    /// Number of writes whose connection closes at once and that take effect later.
+    /// Number of further writes whose connection closes at once and that take effect later.
     pub late_writes: u32,
-    /// Time until a late write takes effect, in milliseconds.
+    /// Delay until a late write takes effect, in milliseconds.
     pub late_by_ms: u64,
 }
 
-/// Calls that were counted since the start, by kind. Calls refused by a fault are counted too.
+/// Number of calls by kind since the start, including calls that a fault refused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Reads of a range.
@@ -71,7 +73,7 @@
     pub compactions: u64,
 }
 
-/// Contents at one revision, to restore later.
+/// Contents at one revision, which [`KeyValue::restore`] accepts.
 #[derive(Clone, Debug)]
 pub struct Snapshot(store::Store);
 
@@ -110,13 +112,13 @@
         Ok(Self { shared, server })
     }
 
-    /// Calls that were counted.
+    /// Current counters.
     #[must_use]
     pub fn counters(&self) -> Counters {
         sync::lock(&self.shared.state).counters
     }
 
-    /// Revision of the contents.
+    /// Current revision.
     #[must_use]
     pub fn revision(&self) -> u64 {
         sync::lock(&self.shared.state)
@@ -131,7 +133,7 @@
         Snapshot(sync::lock(&self.shared.state).store.clone())
     }
 
-    /// Goes back to earlier contents with their revision, and ends all watches.
+    /// Restores earlier contents with their revision, and ends all watches.
     pub fn restore(&self, snapshot: Snapshot) {
         let mut state = sync::lock(&self.shared.state);
         state.store = snapshot.0;
@@ -139,7 +141,7 @@
         self.shared.changed.notify_all();
     }
 
-    /// Drops the history up to and with `revision`, so that watches cannot start there.
+    /// Compacts the history up to and including `revision`, so that watches cannot start there.
     pub fn compact(&self, revision: u64) {
         let revision = i64::try_from(revision).unwrap_or(i64::MAX);
         sync::lock(&self.shared.state).store.compact(revision);
@@ -162,11 +164,15 @@
     control: Arc<server::Control>,
 }
 
-/// What becomes of a write.
+/// How a write is executed and answered.
 enum WriteOutcome {
+    /// It is executed and answered.
     Answered,
+    /// It is executed, and the connection closes without an answer.
     AnswerLost,
+    /// It is not executed, and the connection closes without an answer.
     WriteLost,
+    /// The connection closes without an answer, and the write is executed after this delay.
     Delayed(Duration),
 }
 
@@ -249,7 +255,7 @@
         *counter += 1;
     }
 
-    /// Applies a call and returns its answer.
+    /// Executes a call and returns its answer.
     fn apply<T, F>(&self, call: &T, f: F) -> Result<Value, store::ApiError>
     where
         F: FnOnce(&mut store::Store, &T) -> Result<Value, store::ApiError>,
@@ -284,7 +290,7 @@
         match self.next_write_outcome() {
             WriteOutcome::Answered => respond_result(exchange, self.apply(&call, f)),
             WriteOutcome::AnswerLost => {
-                // The caller sees a lost answer whatever the answer was.
+                // The answer is lost whether the call succeeds or fails.
                 drop(self.apply(&call, f));
                 exchange.hang_up();
             }
@@ -298,7 +304,7 @@
         }
     }
 
-    /// Runs a transaction. One that can only read is not a write that a fault may lose.
+    /// Executes a transaction. One whose branches only read is not subject to the faults of writes.
     fn txn(&self, exchange: server::Exchange) {
         let reads = |op: &api::Op| matches!(op, api::Op::Range(_));
         let only_reads = exchange
@@ -353,7 +359,7 @@
         body.abort();
     }
 
-    /// Waits for the next message of a watch; `None` when the watch ends.
+    /// Waits for the next message of a watch. Returns `None` if the watch ends.
     fn next_message(
         &self,
         watch: &api::WatchCreate,
--- a/crates/standins/src/keyvalue/store.rs
+++ b/crates/standins/src/keyvalue/store.rs
@@ -11,13 +11,13 @@
 /// Largest value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Changes that watches can be started from; older ones are compacted.
+/// Maximum number of changes in the history. Older ones are compacted.
 const MAX_HISTORY: usize = 16_384;
 
-/// Leases that exist at once.
+/// Maximum number of leases.
 const MAX_LEASES: usize = 65_536;
 
-/// Id of the only member.
+/// Id of the only member; also the cluster id and the Raft term.
 const MEMBER: api::Int64 = api::Int64(1);
 
 /// An error answer: HTTP status, gRPC code and message.
@@ -72,7 +72,7 @@
     leases: BTreeMap<i64, LeaseEntry>,
     last_lease: i64,
     history: VecDeque<(i64, api::Event)>,
-    /// Revision up to which changes have been dropped from the history.
+    /// Revision up to and including which the history is compacted.
     compacted: i64,
 }
 
@@ -103,12 +103,12 @@
         self.revision
     }
 
-    /// Revision up to which the history is gone.
+    /// Revision up to and including which the history is compacted.
     pub(super) fn compacted(&self) -> i64 {
         self.compacted
     }
 
-    /// Drops the history up to and with `revision`.
+    /// Compacts the history up to and including `revision`.
     pub(super) fn compact(&mut self, revision: i64) {
         self.compacted = self.compacted.max(revision.min(self.revision));
         while self
@@ -156,7 +156,7 @@
         json!({ "header": self.header(), "deleted": deleted.to_string() })
     }
 
-    /// Applies the branch of the transaction that its compares choose, as one revision.
+    /// Executes the branch that the compares of the transaction select, as one revision.
     pub(super) fn txn(&mut self, txn: &api::Txn) -> Result<Value, ApiError> {
         let succeeded = txn.compare.iter().all(|compare| self.compare(compare));
         let ops = if succeeded {
@@ -206,7 +206,7 @@
             api::CompareTarget::Mod => number(|item| item.modified).cmp(&compare.mod_revision.0),
             api::CompareTarget::Lease => number(|item| item.lease).cmp(&compare.lease.0),
             api::CompareTarget::Value => {
-                // Any comparison of the value of a key that does not exist fails.
+                // Any comparison with the value of a missing key fails.
                 let Some(item) = item else { return false };
                 item.value.cmp(&compare.value.0)
             }
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Changes in `range` at revision `from` and later.
+    /// Changes to keys in `range` at revision `from` and later.
     pub(super) fn changes(&self, range: &api::Range, from: i64) -> Vec<api::Event> {
         let start = self.history.partition_point(|(at, _)| *at < from);
         let changes = self.history.range(start..);
@@ -308,7 +308,7 @@
         Ok(self.lease_answer(id, ttl))
     }
 
-    /// Renews a lease. A lease that does not exist is answered with a time of zero.
+    /// Renews a lease. The answer for a lease that does not exist has a TTL of zero.
     pub(super) fn keep_alive(&mut self, lease: &api::Lease) -> Value {
         let ttl = match self.leases.get_mut(&lease.id.0) {
             Some(lease_entry) => {
@@ -338,7 +338,7 @@
         }
     }
 
-    /// Removes the leases that have expired, with their entries.
+    /// Removes the expired leases and the entries attached to them.
     pub(super) fn expire(&mut self) {
         let now = Instant::now();
         let expired = self
--- a/crates/standins/src/platform/caller.rs
+++ b/crates/standins/src/platform/caller.rs
@@ -1,28 +1,28 @@
-//! A caller that sees every byte of its answers.
+//! HTTP caller that exposes the exact bytes of its answers, including incomplete ones.
 
 use std::fmt::Write as _;
 use std::io::{self, Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Longest wait for an answer.
+/// Timeout of each read from the connection.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A whole answer, or what came of it before the connection ended.
+/// An answer, or the part of it that arrived before the connection ended.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// HTTP status, or 0 if no head came.
+    /// HTTP status, or 0 if no complete head arrived.
     pub status: u16,
     /// Head as text.
     pub head: String,
-    /// Body, as far as it came.
+    /// The part of the body that arrived.
     pub body: String,
-    /// Whether the body ended as its head says.
+    /// Whether the body is complete by its `content-length` or its last chunk.
     pub is_complete: bool,
 }
 
 impl Answer {
-    /// Seal of the endpoint that made the answer.
+    /// Seal with which the endpoint vouches for the answer.
     #[must_use]
     pub fn seal(&self) -> Option<&str> {
         self.header("x-response-seal")
@@ -49,12 +49,12 @@
     pub path: String,
     /// API key.
     pub key: String,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(String, String)>,
 }
 
 impl CallerRequest {
-    /// Makes a request.
+    /// Creates a `POST` request.
     #[must_use]
     pub fn new(id: &str, path: &str, key: &str) -> Self {
         Self {
@@ -73,7 +73,7 @@
         self
     }
 
-    /// Replaces the key.
+    /// Replaces the API key.
     #[must_use]
     pub fn key(mut self, key: &str) -> Self {
         key.clone_into(&mut self.key);
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of the connection.
+    /// Connecting or writing fails.
     pub fn open(&self, addr: SocketAddr) -> io::Result<TcpStream> {
         let mut stream = TcpStream::connect(addr)?;
         stream.set_read_timeout(Some(TIMEOUT))?;
@@ -101,7 +101,7 @@
         Ok(stream)
     }
 
-    /// Sends the request and reads its answer, which is empty if there is no connection.
+    /// Sends the request and reads its answer. The answer is empty if the request cannot be sent.
     #[must_use]
     pub fn send(&self, addr: SocketAddr) -> Answer {
         match self.open(addr) {
@@ -111,7 +111,7 @@
     }
 }
 
-/// Reads one answer.
+/// Reads one answer, or the part of it that arrives before the connection ends.
 pub fn read(stream: &mut TcpStream) -> Answer {
     let mut bytes = Vec::new();
     let mut buf = [0; 4_096];
@@ -128,7 +128,8 @@
     }
 }
 
-/// The answer in the bytes, once it is whole or the connection has ended.
+/// Parses an answer. Returns `None` if its head is incomplete, or if its body is and the connection
+/// has not ended.
 fn parse(bytes: &[u8], is_ended: bool) -> Option<Answer> {
     let text = String::from_utf8_lossy(bytes).into_owned();
     let (head, rest) = text.split_once("\r\n\r\n")?;
@@ -149,7 +150,7 @@
     (answer.is_complete || is_ended).then_some(answer)
 }
 
-/// Chunks of a body so far, and whether the last one came.
+/// Decodes the complete chunks of a body, and returns whether the last chunk is among them.
 fn decode_chunked(mut rest: &str) -> (String, bool) {
     let mut body = String::new();
     while let Some((size, after)) = rest.split_once("\r\n") {
@@ -168,19 +169,19 @@
     (body, false)
 }
 
-/// Events of the stream of a request, with the given ids.
+/// The events of a request's stream that have the given ids.
 #[must_use]
 pub fn events(request: &str, ids: std::ops::Range<u64>) -> String {
     ids.map(|id| event(request, id)).collect()
 }
 
-/// One event of the stream of a request.
+/// One event of a request's stream.
 #[must_use]
 pub fn event(request: &str, id: u64) -> String {
     format!("id: {id}\ndata: piece {id} of {request}\n\n")
 }
 
-/// Body of a whole answer to a request.
+/// Body of the answer to a request.
 #[must_use]
 pub fn answer_body(request: &str) -> String {
     format!("answer to {request}")
--- a/crates/standins/src/platform/endpoint.rs
+++ b/crates/standins/src/platform/endpoint.rs
@@ -1,4 +1,4 @@
-//! Stand-in of an endpoint that speaks the platform's dialect.
+//! Stand-in for an endpoint that uses the platform's protocol.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,31 +13,31 @@
 
 use crate::platform::{caller, http};
 
-/// What an endpoint does with a request.
+/// How an endpoint handles a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It answers with a whole body.
+    /// It runs the request and answers with a complete body.
     Answer {
         /// HTTP status.
         status: u16,
     },
-    /// It states that it did not run the request.
+    /// It answers 503 and states that it did not run the request.
     Refuse,
     /// It runs the request and closes the connection without an answer.
     CloseWithoutAnswer,
     /// It runs the request and never answers.
     Hang,
-    /// It answers with the id of another request.
+    /// It runs the request and answers with the id of another request.
     WrongRequestId,
-    /// It answers without vouching for the answer.
+    /// It runs the request and answers without a seal.
     Unsealed,
-    /// It sends a stream of events.
+    /// It runs the request and answers with a stream of events.
     Stream {
-        /// Events of the whole stream.
+        /// Number of events in the complete stream.
         events: u64,
         /// Pause before each event.
         pause: Duration,
-        /// Event in the middle of which the connection is cut, if any.
+        /// Event half-way through which the connection is cut, if any.
         cut_at: Option<u64>,
     },
 }
@@ -49,11 +49,11 @@
     pub id: String,
     /// Path and query.
     pub target: String,
-    /// Headers, as they arrived.
+    /// Headers as received.
     pub headers: HeaderMap,
-    /// Body.
+    /// Body of the request.
     pub body: Bytes,
-    /// When it began.
+    /// Time at which the run began.
     pub started_at: Instant,
 }
 
@@ -62,7 +62,7 @@
     id: String,
     behaviour: Mutex<Behaviour>,
     runs: Mutex<Vec<Run>>,
-    /// Streams and hanging requests that were cancelled.
+    /// Number of streams and hanging requests whose connection closed before their end.
     cancelled: watch::Sender<u64>,
 }
 
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if no address can be listened on.
+    /// No address can be bound or the thread cannot be started.
     pub fn start(id: &str, behaviour: Behaviour) -> eyre::Result<Self> {
         let handler = Arc::new(Handler {
             id: id.to_owned(),
@@ -90,36 +90,36 @@
         Ok(Self { server, handler })
     }
 
-    /// Address.
+    /// Address that the endpoint is bound to.
     #[must_use]
     pub const fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Id.
+    /// Id of the endpoint.
     #[must_use]
     pub fn id(&self) -> &str {
         &self.handler.id
     }
 
-    /// Changes what it does with new requests.
+    /// Changes how new requests are handled.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         *lock(&self.handler.behaviour) = behaviour;
     }
 
-    /// Requests that it ran.
+    /// Requests that the endpoint ran.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
         lock(&self.handler.runs).clone()
     }
 
-    /// Requests whose connection was closed while they ran.
+    /// Number of requests whose connection closed while they ran.
     #[must_use]
     pub fn cancelled(&self) -> u64 {
         *self.handler.cancelled.borrow()
     }
 
-    /// Ends the endpoint and its connections.
+    /// Closes the endpoint and its connections, and ends its thread.
     pub fn close(self) {
         self.server.close();
     }
@@ -129,7 +129,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Counts a request that is dropped before its end.
+/// Counts a request as cancelled if it is dropped before it is done.
 struct CancellationGuard {
     handler: Arc<Handler>,
     is_done: bool,
@@ -206,7 +206,7 @@
     }
 }
 
-/// Seal of an endpoint's answers.
+/// Seal with which an endpoint vouches for its answers.
 #[must_use]
 pub fn seal_of(id: &str) -> String {
     format!("seal-of-{id}")
@@ -235,7 +235,7 @@
         reply
     }
 
-    /// Events of a stream, the last of which may be cut in its middle.
+    /// Body of a stream, which is cut half-way through event `cut_at`.
     fn events(
         self: Arc<Self>,
         request: String,
@@ -263,7 +263,7 @@
                 }
                 if is_cut {
                     guard.is_done = true;
-                    // The part of the event leaves before the connection is cut.
+                    // Gives the part of the event time to be sent before the connection is cut.
                     tokio::time::sleep(Duration::from_millis(50)).await;
                     drop(tx.send(Err(std::io::Error::other("cut"))).await);
                     return;
@@ -275,7 +275,7 @@
     }
 }
 
-/// Stream of what is received.
+/// Adapts a channel receiver to a stream.
 struct Receiver(tokio::sync::mpsc::Receiver<Result<Frame<Bytes>, std::io::Error>>);
 
 impl Stream for Receiver {
--- a/crates/standins/src/platform/http.rs
+++ b/crates/standins/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP on a loopback address, on a thread of its own.
+//! HTTP server on a loopback address, with its own thread.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -19,9 +19,9 @@
 /// Body of an answer; an error cuts the connection.
 pub(crate) type Body = BoxBody<Bytes, std::io::Error>;
 
-/// What a stand-in does with a request. `None` closes the connection without an answer.
+/// Handles the requests of a server.
 pub(crate) trait Handler: Send + Sync + 'static {
-    /// Answers a request.
+    /// Answers a request. `None` closes the connection without an answer.
     fn handle(
         self: Arc<Self>,
         req: Request<Incoming>,
@@ -62,7 +62,7 @@
 
     pub(crate) fn close(self) {
         self.close_signal.send_replace(true);
-        // A thread that panicked has shown it in the output of the test.
+        // A panic of the thread has already been printed.
         drop(self.thread.join());
     }
 }
@@ -99,13 +99,13 @@
     });
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::select! {
-        // The caller sees what became of its connection.
+        // A failure of the connection is visible to its caller.
         _ = connection => {}
         _ = closed.changed() => {}
     }
 }
 
-/// Closes a connection without an answer.
+/// Error that makes `hyper` close a connection without an answer.
 #[derive(Debug)]
 struct Closed;
 
@@ -117,7 +117,7 @@
 
 impl std::error::Error for Closed {}
 
-/// A whole body.
+/// A complete body.
 pub(crate) fn full_body<B>(bytes: B) -> Body
 where
     B: Into<Bytes>,
@@ -126,7 +126,7 @@
     full.map_err(|never: Infallible| match never {}).boxed()
 }
 
-/// An answer with a status and a whole body.
+/// An answer with a status and a complete body.
 pub(crate) fn answer<B>(status: StatusCode, bytes: B) -> Response<Body>
 where
     B: Into<Bytes>,
--- a/crates/standins/src/platform/mod.rs
+++ b/crates/standins/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-ins of the users' platform: its store, and endpoints that speak its dialect.
+//! Stand-ins for the users' platform: its store, endpoints that use its protocol, and a caller.
 //!
-//! Each runs on a thread with an executor of its own. They know no more of the platform than the
-//! tests need.
+//! Each server runs on its own thread with its own executor. Only the parts of the platform that
+//! the tests need are implemented.
 
 pub mod caller;
 pub mod endpoint;
--- a/crates/standins/src/platform/records.rs
+++ b/crates/standins/src/platform/records.rs
@@ -1,4 +1,4 @@
-//! What the operator and endpoints write into the platform's store.
+//! Entries that the operator and the endpoints write to the platform's store.
 
 use std::net::SocketAddr;
 
@@ -10,22 +10,22 @@
 /// A route of the configuration. Its prefix is its name between slashes.
 #[derive(Clone, Copy, Debug)]
 pub struct Route<'a> {
-    /// Name.
+    /// Name of the route.
     pub name: &'a str,
-    /// Kind, as the platform spells it.
+    /// Kind, in the platform's spelling.
     pub kind: &'a str,
-    /// Service.
+    /// Service that handles its requests.
     pub service: &'a str,
-    /// Most endpoints that a request may be sent to.
+    /// Maximum number of endpoints that a request may be sent to.
     pub attempts: u32,
     /// Whether its streams may be resumed.
     pub resumes: bool,
-    /// Longest time of a request, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     pub timeout_ms: u64,
 }
 
 impl Route<'_> {
-    /// The route as it stands in the configuration.
+    /// The route in the format of the configuration.
     #[must_use]
     pub fn record(&self) -> Value {
         json!({
@@ -37,7 +37,7 @@
     }
 }
 
-/// A configuration with one client account that holds the keys.
+/// A configuration with one client account, to which `keys` belong.
 #[must_use]
 pub fn config(version: u64, routes: &[Value], services: &[&str], keys: &[&str]) -> Value {
     let service =
@@ -53,13 +53,13 @@
     })
 }
 
-/// Key of the entry of an endpoint.
+/// Key of an endpoint's entry in the store.
 #[must_use]
 pub fn entry_key(id: &str) -> String {
     format!("servers/{id}")
 }
 
-/// Entry of an endpoint.
+/// An endpoint's entry in the store.
 #[must_use]
 pub fn entry(service: &str, address: SocketAddr, state: &str, sequence: u64) -> Value {
     json!({
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -118,19 +118,19 @@
 }
 
 impl Store {
-    /// Makes an empty store.
+    /// Creates an empty store.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Writes an entry, as the operator or an endpoint would.
+    /// Writes an entry with a JSON value, as the operator or an endpoint does.
     pub fn put(&self, key: &str, value: &Value) {
         let bytes = value.to_string().into_bytes();
         self.put_bytes(key, bytes);
     }
 
-    /// Writes an entry that need not be JSON.
+    /// Writes an entry whose value need not be JSON.
     pub fn put_bytes(&self, key: &str, value: Vec<u8>) {
         self.update(|state| state.write(key, Some((value, 0))));
     }
@@ -140,7 +140,7 @@
         self.update(|state| state.write(key, None));
     }
 
-    /// Forgets the history, so that watches have to start anew.
+    /// Drops the history, so that watches from an earlier revision are answered 410.
     pub fn compact_history(&self) {
         self.update(|state| {
             state.compacted_revision = state.revision;
@@ -148,7 +148,7 @@
         });
     }
 
-    /// Calls that were made.
+    /// Number of calls received, over all listeners.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.lock().calls
@@ -158,7 +158,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if no address can be listened on.
+    /// No address can be bound or the thread cannot be started.
     pub fn listen(&self) -> eyre::Result<StoreListener> {
         let handler = Arc::new(Handler {
             store: self.clone(),
@@ -191,13 +191,13 @@
 }
 
 impl StoreListener {
-    /// Address.
+    /// Address that the listener is bound to.
     #[must_use]
     pub const fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Cuts the watches that wait. Calls after that are carried out.
+    /// Closes the connections of all calls in progress. Later calls are not affected.
     pub fn cut_watches(&self) {
         self.handler.cuts.send_modify(|cuts| *cuts += 1);
     }
@@ -217,7 +217,7 @@
 struct Handler {
     store: Store,
     mode: watch::Sender<Mode>,
-    /// Times that the watches were cut.
+    /// Number of times that the calls in progress were cut.
     cuts: watch::Sender<u64>,
 }
 
@@ -246,12 +246,13 @@
 }
 
 impl Handler {
+    /// Waits until the mode satisfies `is_over`.
     async fn wait_until<F>(&self, is_over: F)
     where
         F: Fn(Mode) -> bool,
     {
         let mut modes = self.mode.subscribe();
-        // The sender lives as long as this handler.
+        // Does not fail: the sender lives as long as this handler.
         drop(modes.wait_for(|mode| is_over(*mode)).await);
     }
 
@@ -316,7 +317,7 @@
         }
     }
 
-    /// Answer to a watch, if there is one yet.
+    /// Answer to a watch, if there are changes after `after` or its history is compacted.
     fn changes(&self, prefix: &str, after: u64) -> Option<Response<http::Body>> {
         let state = self.store.lock();
         if after < state.compacted_revision {
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -1,7 +1,8 @@
-//! TCP relay that stands for the network between two ends.
+//! TCP relay that injects network faults between a client and a server.
 //!
-//! It can cut the ends off from each other, and it can forget the connections that are
-//! established: their bytes vanish, neither end is told, and new connections work.
+//! It can partition the two, reset or delay their connections, and blackhole the established
+//! connections: their bytes are discarded while both sockets stay open, so that neither end is
+//! notified. New connections are not affected by a blackhole.
 
 use std::io::{Read as _, Write as _};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -14,10 +15,10 @@
 
 use crate::sync;
 
-/// Pause between two looks at the listening socket.
+/// Interval at which the listening socket is polled.
 const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Bytes that are read at once.
+/// Size of the buffer for one read, in bytes.
 const BUFFER_LEN: usize = 16 * 1024;
 
 /// A running relay.
@@ -34,27 +35,27 @@
     closing: AtomicBool,
     /// Whether connections are refused.
     partitioned: AtomicBool,
-    /// Bytes passed on, in both directions.
+    /// Bytes forwarded, in both directions.
     bytes: AtomicU64,
-    /// Time for which each read is held back, in milliseconds.
+    /// Delay before the bytes of each read are forwarded, in milliseconds.
     delay_ms: AtomicU64,
     connections: Mutex<Vec<Connection>>,
 }
 
-/// The two sockets of one connection.
+/// A relayed connection: its socket to the client and the one to the target.
 #[derive(Debug)]
 struct Connection {
     sockets: [TcpStream; 2],
-    /// Whether the bytes to the target, and those from it, are discarded.
+    /// Whether bytes are discarded: those to the target, then those from it.
     blackholed: [Arc<AtomicBool>; 2],
-    /// Whether one direction has ended.
+    /// Whether at least one direction has ended.
     ended: Arc<AtomicBool>,
 }
 
 impl Connection {
     fn close(&self) {
         for socket in &self.sockets {
-            // The other end may have closed it.
+            // Fails if the peer has already closed the socket.
             let closed = socket.shutdown(Shutdown::Both);
             drop(closed);
         }
@@ -93,13 +94,13 @@
         })
     }
 
-    /// Address that stands for the target.
+    /// Address on which clients reach the target through the relay.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Bytes taken to be passed on, in both directions, since the start.
+    /// Bytes read in order to be forwarded, in both directions, since the start.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.shared.bytes.load(Ordering::Acquire)
@@ -112,13 +113,13 @@
         self.shared.close_connections();
     }
 
-    /// Takes connections again.
+    /// Ends a partition: connections are accepted again.
     pub fn heal(&self) {
         self.shared.partitioned.store(false, Ordering::Release);
         self.wait_for_listener(true);
     }
 
-    /// Discards all further bytes of the connections that are established, and keeps them open.
+    /// Discards all further bytes of the established connections, and keeps them open.
     pub fn blackhole(&self) {
         for connection in sync::lock(&self.shared.connections).iter() {
             for blackholed in &connection.blackholed {
@@ -127,25 +128,26 @@
         }
     }
 
-    /// Discards what comes from the target on the connections that are established; what goes to
-    /// it is passed on.
+    /// Discards further bytes from the target on the established connections. Bytes to the target
+    /// are still forwarded.
     pub fn blackhole_answers(&self) {
         for connection in sync::lock(&self.shared.connections).iter() {
             connection.blackholed[1].store(true, Ordering::Release);
         }
     }
 
-    /// Closes all connections, and takes new ones.
+    /// Closes all connections. New ones are accepted.
     pub fn reset_connections(&self) {
         self.shared.close_connections();
     }
 
-    /// Holds back whatever is passed on for a time.
+    /// Delays the bytes of each read by `delay` before they are forwarded.
     pub fn delay(&self, delay: std::time::Duration) {
         let millis = delay.as_millis() as u64;
         self.shared.delay_ms.store(millis, Ordering::Relaxed);
     }
 
+    /// Waits until connections are accepted (`open`) or refused.
     fn wait_for_listener(&self, open: bool) {
         while TcpStream::connect(self.addr).is_ok() != open {
             thread::sleep(ACCEPT_POLL_INTERVAL);
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Connects a socket to the target. It is closed if the target refuses.
+    /// Connects a client to the target. The client is closed if the target refuses.
     fn connect(self: &Arc<Self>, client: TcpStream) {
         let Ok(connection) = self.open_connection(client) else {
             return;
@@ -206,7 +208,7 @@
         Ok(connection)
     }
 
-    /// Copies one direction on a thread of its own.
+    /// Forwards one direction on a thread of its own.
     fn copy(
         self: &Arc<Self>,
         mut from: TcpStream,
@@ -227,14 +229,15 @@
                 if delay > 0 {
                     thread::sleep(std::time::Duration::from_millis(delay));
                 }
-                // Counted first, so that whoever has received bytes finds them counted.
+                // Counted before the write, so that the count includes all bytes that were
+                // received.
                 shared.bytes.fetch_add(len as u64, Ordering::Release);
                 if to.write_all(&buf[..len]).is_err() {
                     break;
                 }
             }
             if !blackholed.load(Ordering::Acquire) {
-                // The end of one direction is passed on, unless the relay has blackholed it.
+                // The end of the stream is forwarded only if the direction is not blackholed.
                 let shut = to.shutdown(Shutdown::Write);
                 drop(shut);
                 ended.store(true, Ordering::Relaxed);
--- a/crates/standins/src/server/exchange.rs
+++ b/crates/standins/src/server/exchange.rs
@@ -1,4 +1,4 @@
-//! A request at a stand-in and the ways to answer it, whole or broken.
+//! A request to a stand-in, and the ways to answer it or to fail it.
 
 use std::io::{Read as _, Write};
 use std::time::Duration;
@@ -8,20 +8,20 @@
 /// Largest body of a request, in bytes.
 const MAX_BODY_BYTES: u64 = 16 << 20;
 
-/// Header that says whether a refused request ran.
+/// Header that states whether a refused request was run.
 const OUTCOME_HEADER: &str = "x-outcome";
 
-/// Value of [`OUTCOME_HEADER`] for a request that was refused before it ran.
+/// Value of [`OUTCOME_HEADER`] for a request that was not run.
 const NOT_RUN: &str = "not_run";
 
-/// Pause between two looks at whether a stall goes on.
+/// Interval at which a stalled request checks whether the stall has ended.
 const STALL_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 fn header(name: &str, value: &str) -> tiny_http::Header {
     tiny_http::Header::from_bytes(name, value).expect("header of a stand-in is ASCII")
 }
 
-/// Refuses a request whose body is not read.
+/// Answers a request with 503 without reading its body.
 pub(super) fn refuse_unread(req: tiny_http::Request) {
     let refusal = tiny_http::Response::empty(503).with_header(header(OUTCOME_HEADER, NOT_RUN));
     let sent = req.respond(refusal);
@@ -35,7 +35,7 @@
 }
 
 impl Exchange {
-    /// Reads the body. Returns `None` if it is too large or was cut short.
+    /// Reads the body. Returns `None` if it is truncated or larger than [`MAX_BODY_BYTES`].
     pub(super) fn read(mut req: tiny_http::Request) -> Option<Self> {
         let expected = req.body_length();
         let mut body = Vec::new();
@@ -58,14 +58,14 @@
         url.split_once('?').map_or(url, |(path, _)| path)
     }
 
-    /// Parameter `name` of the query.
+    /// Value of the query parameter `name`.
     pub(crate) fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.req.url().split_once('?')?;
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
     }
 
-    /// Header `name`.
+    /// Value of the header `name`, whose case is ignored.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let mut headers = self.req.headers().iter();
         headers
@@ -89,7 +89,7 @@
         self.respond_with(status, &[], value);
     }
 
-    /// Answers with a JSON body and further headers.
+    /// Answers with a JSON body and additional headers.
     pub(crate) fn respond_with<T>(self, status: u16, headers: &[(&str, &str)], value: &T)
     where
         T: serde::Serialize,
@@ -100,12 +100,13 @@
         for (name, value) in headers {
             response.add_header(header(name, value));
         }
-        // The caller may be gone, which is no fault of the stand-in.
+        // Sending fails if the caller has disconnected, which the stand-in ignores.
         let sent = self.req.respond(response);
         drop(sent);
     }
 
-    /// Answers with an error body in the form of the OpenAI API.
+    /// Answers with an error in the format of the OpenAI API, and states that the request was not
+    /// run.
     pub(crate) fn refuse(self, status: u16, code: &str, message: &str) {
         let value = serde_json::json!({
             "error": { "message": message, "type": "standin_error", "code": code },
@@ -113,7 +114,7 @@
         self.respond_with(status, &[(OUTCOME_HEADER, NOT_RUN)], &value);
     }
 
-    /// Sends the head and the first half of a JSON answer, then closes the connection.
+    /// Sends the head and the first half of the body of a JSON answer, then closes the connection.
     pub(crate) fn respond_truncated<T>(self, value: &T)
     where
         T: serde::Serialize,
@@ -136,7 +137,7 @@
         drop(self.req.into_writer());
     }
 
-    /// Says nothing while `holds` returns true, then closes the connection.
+    /// Sends nothing while `is_stalled` returns true, then closes the connection.
     pub(crate) fn stall<F>(self, control: &server::Control, is_stalled: F)
     where
         F: Fn() -> bool,
@@ -171,7 +172,8 @@
     serde_json::to_vec(value).expect("answer of a stand-in serializes")
 }
 
-/// Writer that discards everything once `discard` is set, so that no last chunk is sent.
+/// Writer that discards all data once `discard` is set. The encoder writes the last chunk when it
+/// is dropped; discarding it leaves the body truncated.
 struct Sink {
     inner: Box<dyn Write + Send>,
     discard: bool,
@@ -190,20 +192,20 @@
     }
 }
 
-/// Body of a chunked answer. Each write is one chunk that is sent at once.
+/// Body of a chunked answer. Each chunk is sent immediately.
 pub(crate) struct Body {
     encoder: chunked_transfer::Encoder<Sink>,
 }
 
 impl Body {
-    /// Sends one chunk. An error means that the caller is gone.
+    /// Sends one chunk. An error means that the caller has disconnected.
     pub(crate) fn send(&mut self, chunk: &[u8]) -> std::io::Result<()> {
         self.encoder.write_all(chunk)?;
-        // The encoder hands each chunk on, but does not flush the buffered writer below it.
+        // The encoder writes each chunk but does not flush the buffered writer below it.
         self.encoder.get_mut().flush()
     }
 
-    /// Ends the body with its last chunk.
+    /// Ends the body with the last chunk.
     pub(crate) fn finish(self) {
         drop(self.encoder);
     }
--- a/crates/standins/src/server/mod.rs
+++ b/crates/standins/src/server/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP server loop that all stand-ins share.
+//! HTTP server that the stand-ins outside [`crate::platform`] share.
 //!
-//! One thread takes requests from `tiny_http` and hands each to a thread of its own, up to a bound.
-//! The listening socket can be closed and opened again on the same address, which makes the
-//! platform refuse connections while the stand-in keeps its state.
+//! One thread accepts requests from `tiny_http` and starts a thread for each, up to
+//! [`MAX_ACTIVE`]. The listening socket can be closed and reopened on the same address, so that a
+//! stand-in refuses connections without losing its state.
 
 mod exchange;
 mod switch;
@@ -20,7 +20,7 @@
 pub(crate) use exchange::{Body, Exchange};
 pub(crate) use switch::{FaultSwitch, take_fault};
 
-/// Gives a stand-in with the fields `server` and `shared` the functions that all have.
+/// Implements the common functions of a stand-in that has the fields `server` and `shared`.
 macro_rules! impl_stand_in {
     ($name:ident, $faults:ty) => {
         impl $name {
@@ -30,13 +30,13 @@
                 self.server.addr()
             }
 
-            /// Replaces the faults, and waits until connections are refused or accepted as they
-            /// say.
+            /// Replaces the faults, and waits up to 2 s until connections are refused or accepted
+            /// accordingly.
             pub fn set_faults(&self, faults: $faults) {
                 self.shared.faults.set(self.server.control(), faults);
             }
 
-            /// Ends the requests under way and the threads.
+            /// Stops the server, and waits up to 5 s for the requests in progress.
             pub fn close(self) {
                 self.server.close();
             }
@@ -46,16 +46,17 @@
 
 pub(crate) use impl_stand_in;
 
-/// Requests that one server handles at once; those beyond are answered 503 before they run.
+/// Maximum number of concurrent requests of a server. Further requests are answered 503 without
+/// being run.
 const MAX_ACTIVE: usize = 512;
 
-/// Longest wait of `close` for requests under way.
+/// Longest wait of `close` for the requests in progress.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Longest wait for the listening socket to open or close.
 const LISTEN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause between two looks at the listening socket.
+/// Interval at which the listening socket is polled.
 const LISTEN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Debug, Default)]
@@ -65,7 +66,7 @@
     active: usize,
 }
 
-/// State that the handlers and the owner of a server share.
+/// State shared by the handlers and the owner of a server.
 pub(crate) struct Control {
     addr: SocketAddr,
     state: Mutex<State>,
@@ -82,7 +83,7 @@
 }
 
 impl Control {
-    /// Sleeps for `span`. Returns false at once when the server closes.
+    /// Sleeps for `span`. Returns false as soon as the server closes.
     pub(crate) fn sleep(&self, span: Duration) -> bool {
         let state = sync::lock(&self.state);
         let (state, _) = self
@@ -97,7 +98,8 @@
         sync::lock(&self.state).closing
     }
 
-    /// Closes the listening socket, or opens it again, and waits until that holds.
+    /// Closes or reopens the listening socket, and waits up to [`LISTEN_TIMEOUT`] until connections
+    /// are refused or accepted.
     pub(crate) fn set_refusing(&self, refusing: bool) {
         sync::lock(&self.state).refusing = refusing;
         self.wake();
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Waits until the socket may be open; returns false when the server closes.
+    /// Waits until connections are to be accepted. Returns false if the server closes.
     fn wait_open(&self) -> bool {
         let state = sync::lock(&self.state);
         let state = self
@@ -129,7 +131,7 @@
         !state.closing && !state.refusing
     }
 
-    /// Counts a request in, unless the bound is reached.
+    /// Registers a request. Returns `None` if [`MAX_ACTIVE`] requests are in progress.
     fn begin_request(self: &Arc<Self>) -> Option<ActiveRequest> {
         let mut state = sync::lock(&self.state);
         if state.active >= MAX_ACTIVE {
@@ -148,7 +150,7 @@
     }
 }
 
-/// Place of a request that is handled; dropping it counts the request out.
+/// Guard of a request in progress; dropping it ends the request.
 struct ActiveRequest(Arc<Control>);
 
 impl Drop for ActiveRequest {
@@ -166,7 +168,7 @@
 }
 
 impl Server {
-    /// Binds `addr` and serves requests with `handle` on the state that `make` builds.
+    /// Binds `addr` and serves requests with `handle`, which gets the state that `make` builds.
     pub(crate) fn start<S, M>(
         addr: SocketAddr,
         make: M,
@@ -204,12 +206,12 @@
         self.control.addr
     }
 
-    /// State that the handlers share.
+    /// State shared with the handlers.
     pub(crate) fn control(&self) -> &Control {
         &self.control
     }
 
-    /// Ends the requests under way and the threads.
+    /// Stops the server, and waits up to [`CLOSE_TIMEOUT`] for the requests in progress.
     pub(crate) fn close(self) {
         sync::lock(&self.control.state).closing = true;
         self.control.wake();
@@ -242,7 +244,8 @@
     }
 }
 
-/// Waits until the server may listen again and binds its address; `None` when it closes.
+/// Waits until connections are to be accepted and binds the address again. Returns `None` if the
+/// server closes.
 fn reopen(control: &Control) -> Option<Arc<tiny_http::Server>> {
     while control.wait_open() {
         if let Ok(http) = TcpListener::bind(control.addr)
--- a/crates/standins/src/server/switch.rs
+++ b/crates/standins/src/server/switch.rs
@@ -1,14 +1,14 @@
-//! Switch for the faults of a stand-in.
+//! Fault settings of a stand-in that can be replaced at run time.
 
 use std::sync::{Mutex, MutexGuard};
 
 use crate::{server, sync};
 
-/// Faults that can be replaced while the stand-in runs.
+/// The faults of a stand-in, which can be replaced while it runs.
 #[derive(Debug)]
 pub(crate) struct FaultSwitch<T> {
     faults: Mutex<T>,
-    /// Whether faults ask for connections to be refused.
+    /// Whether given faults include that connections are refused.
     refuses: fn(&T) -> bool,
 }
 
@@ -23,24 +23,26 @@
         }
     }
 
-    /// The faults that are set.
+    /// The current faults.
     pub(crate) fn get(&self) -> T {
         sync::lock(&self.faults).clone()
     }
 
-    /// Locks the faults, to count one down.
+    /// Locks the faults, to decrement the number of times that one applies.
     pub(crate) fn lock(&self) -> MutexGuard<'_, T> {
         sync::lock(&self.faults)
     }
 
-    /// Replaces the faults and waits until connections are refused or accepted as they say.
+    /// Replaces the faults and waits until connections are refused or accepted accordingly. The
+    /// wait is bounded by `LISTEN_TIMEOUT`.
     pub(crate) fn set(&self, control: &server::Control, faults: T) {
         let refuse = (self.refuses)(&faults);
         *sync::lock(&self.faults) = faults;
         control.set_refusing(refuse);
     }
 
-    /// Answers `POST /faults`.
+    /// Handles a request to `/faults`, whose body replaces the faults. The answer is sent before
+    /// the change takes effect, since the change may close the listening socket.
     pub(crate) fn handle_post(&self, exchange: server::Exchange, control: &server::Control) {
         match exchange.json::<T>() {
             Ok(faults) => {
@@ -52,7 +54,8 @@
     }
 }
 
-/// Takes one from the number of times that a fault still strikes; `None` strikes each time.
+/// Decrements the number of times that a fault still applies, and returns whether it applies now.
+/// `None` means that it applies each time.
 pub(crate) fn take_fault(times: &mut Option<u32>) -> bool {
     match times {
         Some(0) => false,
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,8 +1,8 @@
-//! Plain service some of whose calls may not be repeated.
+//! Plain HTTP service without idempotency of its own.
 //!
-//! Each `POST` runs a call and counts the run by its `idempotency-key` and by its `x-request-id`.
-//! The service runs a repeated key again: that calls run at most once is the caller's concern.
-//! `GET` looks up how often a path was run, and changes nothing.
+//! Each `POST` runs a call and counts the run by its `idempotency-key` and its `x-request-id`. The
+//! service does not deduplicate by key, so that a test can detect a call that its caller ran twice.
+//! `GET` reports how often a path was run, without side effects.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,17 +13,17 @@
 
 use crate::{server, sync};
 
-/// Keys and request ids whose runs are counted, each.
+/// Maximum number of keys, of request ids and of paths whose runs are counted.
 const MAX_COUNTED_NAMES: usize = 500_000;
 
 /// Settings of a service.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address to bind; port 0 takes a free one.
+    /// Address to bind; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Time that a call runs.
+    /// Time that a call takes to run.
     pub run_time: Duration,
-    /// Faults from the start.
+    /// Faults that are set at the start.
     pub faults: Faults,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// What goes wrong with a call.
+/// A fault of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
@@ -45,9 +45,9 @@
     Refuse,
     /// The connection closes without an answer, and the call does not run.
     HangUpBefore,
-    /// Nothing is answered, and the call does not run.
+    /// The call does not run, and is not answered while the fault is set.
     StallBefore,
-    /// The call runs, and nothing is answered.
+    /// The call runs, and is not answered while the fault is set.
     StallAfter,
     /// The call runs, and the connection closes without an answer.
     HangUpAfter,
@@ -59,15 +59,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Connections are refused. Only [`Service::set_faults`] ends this.
+    /// Connections are refused, including those to `/faults`. Only [`Service::set_faults`] clears
+    /// this.
     pub refuse_connections: bool,
-    /// What goes wrong with calls.
+    /// Fault that calls meet, if any.
     pub calls: Option<Fault>,
-    /// Number of calls that go wrong; `None` means each.
+    /// Number of further calls that meet the fault; `None` means all of them.
     pub times: Option<u32>,
 }
 
-/// What a service has counted since it started.
+/// Counters of a service since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Runs by `idempotency-key`.
@@ -76,7 +77,7 @@
     pub by_request: BTreeMap<String, u32>,
     /// Runs by path.
     pub by_path: BTreeMap<String, u32>,
-    /// Runs, also those whose key, id or path is beyond the bound of the maps.
+    /// All runs, including those whose key, id or path the maps had no room for.
     pub runs: u64,
 }
 
@@ -110,7 +111,7 @@
         Ok(Self { shared, server })
     }
 
-    /// What the service has counted.
+    /// Current counters.
     #[must_use]
     pub fn counters(&self) -> Counters {
         sync::lock(&self.shared.counters).clone()
--- a/crates/standins/src/sync.rs
+++ b/crates/standins/src/sync.rs
@@ -1,8 +1,8 @@
-//! Locks that outlive a panic of another thread.
+//! Mutex locking that ignores poisoning.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks `mutex`, also after a thread panicked while it held the lock.
+/// Locks `mutex`, even if a thread panicked while it held the lock.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/standins/src/weight_store.rs
+++ b/crates/standins/src/weight_store.rs
@@ -1,8 +1,8 @@
-//! Weight store with a limited rate.
+//! Store of model weights with a limited transfer rate.
 //!
-//! `GET /weights/MODEL` answers after the time that the model takes at the rate, which all callers
-//! share. A read that would have to wait too long for earlier ones is answered 429. The answer
-//! states the size and carries no weights.
+//! All callers share the rate. `GET /weights/MODEL` answers after the time that transferring the
+//! model would take, behind the reads accepted earlier. A read that would wait longer than
+//! [`Settings::max_wait`] to begin is answered 429. The answer contains the size but no weights.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,15 +17,15 @@
 /// Settings of a weight store.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address to bind; port 0 takes a free one.
+    /// Address to bind; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Sizes of the models that it holds.
+    /// Sizes of the stored models.
     pub models: BTreeMap<name::ModelName, units::ByteSize>,
-    /// Bytes a second over all callers.
+    /// Transfer rate in bytes per second, shared by all callers.
     pub rate: units::ByteSize,
-    /// Longest wait for earlier reads.
+    /// Longest time that a read may wait for earlier reads.
     pub max_wait: Duration,
-    /// Faults from the start.
+    /// Faults that are set at the start.
     pub faults: Faults,
 }
 
@@ -49,10 +49,10 @@
     pub refuse_connections: bool,
 }
 
-/// What a weight store has counted since it started.
+/// Counters of a weight store since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Whole reads by model.
+    /// Completed reads by model.
     pub reads: BTreeMap<name::ModelName, u64>,
     /// Reads answered 429.
     pub refused: u64,
@@ -88,7 +88,7 @@
         Ok(Self { shared, server })
     }
 
-    /// What the weight store has counted.
+    /// Current counters.
     #[must_use]
     pub fn counters(&self) -> Counters {
         sync::lock(&self.shared.state).counters.clone()
@@ -97,7 +97,7 @@
 
 #[derive(Debug)]
 struct State {
-    /// Time at which all reads that were accepted are done.
+    /// Time at which all accepted reads are complete.
     free_at: Instant,
     counters: Counters,
 }
@@ -138,7 +138,8 @@
         exchange.respond(200, &answer);
     }
 
-    /// Takes a place after the reads that were accepted. Returns the time until it is done.
+    /// Schedules a read behind the accepted ones. Returns the time until it completes, or an error
+    /// if it would wait longer than `max_wait` to begin.
     fn reserve(&self, size: units::ByteSize) -> Result<Duration, ()> {
         let mut state = sync::lock(&self.state);
         let now = Instant::now();
--- a/crates/standins/tests/engine.rs
+++ b/crates/standins/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine over sockets, with each of its faults.
+//! The engine stand-in over sockets, with each of its faults.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -41,12 +41,12 @@
     answer.json().expect("the answer is JSON")
 }
 
-/// Events of a stream as pairs of id and data, up to its end or cut, and the time of each.
+/// All events of a stream until it ends or is cut: id, data and arrival time of each.
 fn events(resp: attohttpc::Response) -> Vec<(Option<u32>, String, Instant)> {
     read_events(&mut BufReader::new(resp), usize::MAX)
 }
 
-/// The next events of a stream, up to a number of them, or to its end or cut.
+/// Up to `max` next events of a stream, fewer if it ends or is cut.
 fn read_events<R>(reader: &mut R, max: usize) -> Vec<(Option<u32>, String, Instant)>
 where
     R: BufRead,
@@ -169,8 +169,8 @@
     let mut long = prompt("hello", true);
     long["max_tokens"] = json!(10_000);
     let running = chat(engine.addr(), "long", &long).send().unwrap();
-    // The request is cancelled below only once its stream has begun: a cancellation that overtook the
-    // first event left a stream without any.
+    // Waits for the first event: if the cancellation below arrives before it, the stream has no
+    // events at all.
     let mut running = BufReader::new(running);
     assert_eq!(read_events(&mut running, 1).len(), 1);
     let refused = chat(engine.addr(), "b", &prompt("hello", false))
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of the platform over sockets, with each of their faults.
+//! The key-value service, host list and weight store over sockets, with each of their faults.
 
 use std::io::{BufRead as _, BufReader};
 use std::net::SocketAddr;
--- a/crates/standins/tests/relay.rs
+++ b/crates/standins/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relay between two ends: passing, cut, forgetting.
+//! The relay between a client and a server: forwarding, partitions and blackholes.
 
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,7 +7,7 @@
 
 use pistachiochute_standins::relay;
 
-/// Echoes bytes on each connection.
+/// Starts a server that echoes the bytes of each connection.
 fn echo() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
--- a/crates/standins/tests/service.rs
+++ b/crates/standins/tests/service.rs
@@ -1,4 +1,4 @@
-//! The plain service over sockets, with each of its faults.
+//! The service stand-in over sockets, with each of its faults.
 
 use std::time::Duration;
 
