--- a/crates/standins/src/platform/endpoint.rs
+++ b/crates/standins/src/platform/endpoint.rs
@@ -213,7 +213,7 @@
 }
 
 fn value(text: &str) -> hyper::header::HeaderValue {
-    hyper::header::HeaderValue::from_str(text).expect("a header value")
+    hyper::header::HeaderValue::from_str(text).expect("header of a stand-in is ASCII")
 }
 
 impl Handler {
--- a/crates/standins/src/platform/http.rs
+++ b/crates/standins/src/platform/http.rs
@@ -41,7 +41,8 @@
     where
         H: Handler,
     {
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").wrap_err("listener")?;
+        let listener = std::net::TcpListener::bind("127.0.0.1:0")
+            .wrap_err("cannot bind a listener on a loopback port")?;
         listener.set_nonblocking(true)?;
         let addr = listener.local_addr()?;
         let close_signal = watch::Sender::new(false);
@@ -74,9 +75,10 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("an executor");
+        .expect("the Tokio runtime starts");
     runtime.block_on(async move {
-        let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
+        let listener = tokio::net::TcpListener::from_std(listener)
+            .expect("the listener can be registered with the runtime");
         loop {
             tokio::select! {
                 _ = closed.changed() => return,
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -69,8 +69,8 @@
     ///
     /// No address can be bound or a thread cannot be started.
     pub fn start(target: SocketAddr) -> eyre::Result<Self> {
-        let listener =
-            TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).wrap_err("cannot bind a relay")?;
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
+            .wrap_err("cannot bind the listener of the relay")?;
         let addr = listener.local_addr()?;
         listener.set_nonblocking(true)?;
         let shared = Arc::new(Shared {
--- a/crates/standins/tests/engine.rs
+++ b/crates/standins/tests/engine.rs
@@ -10,7 +10,7 @@
 
 fn start(change: impl FnOnce(&mut engine::Settings)) -> engine::Engine {
     let mut cfg = engine::Settings {
-        models: vec!["m1".parse().expect("a name")],
+        models: vec!["m1".parse().expect("the model name is valid")],
         answer_tokens: 5,
         ..engine::Settings::default()
     };
