--- a/crates/runtime/src/entry/serve.rs
+++ b/crates/runtime/src/entry/serve.rs
@@ -341,11 +341,11 @@
 
 fn write_all(stream: &listener::Stream, data: &[Bytes]) -> Result<(), listener::Disconnected> {
     data.iter()
-        .try_for_each(|piece| stream.send_chunk(piece.clone()))
+        .try_for_each(|chunk| stream.send_chunk(chunk.clone()))
 }
 
 fn concat(data: &[Bytes]) -> Bytes {
     let mut body = BytesMut::with_capacity(data.iter().map(Bytes::len).sum());
-    data.iter().for_each(|piece| body.extend_from_slice(piece));
+    data.iter().for_each(|chunk| body.extend_from_slice(chunk));
     body.freeze()
 }
--- a/crates/runtime/tests/failure_hosts.rs
+++ b/crates/runtime/tests/failure_hosts.rs
@@ -215,8 +215,8 @@
             other => panic!("status {status} with outcome {other:?}"),
         }
     }
-    let whole = answers.iter().filter(|(status, ..)| *status == 200).count();
-    assert_eq!(whole, answers.len(), "{answers:?}");
+    let answered = answers.iter().filter(|(status, ..)| *status == 200).count();
+    assert_eq!(answered, answers.len(), "{answers:?}");
     fleet.close();
 }
 
