--- a/crates/measure/src/actions/answers.rs
+++ b/crates/measure/src/actions/answers.rs
@@ -1,32 +1,33 @@
-//! Answers over a network that loses, repeats, reorders and delays frames.
+//! Delivery of answers over a network that loses, duplicates, reorders and delays frames.
 
 use bytes::Bytes;
 use pistachiochute_core::{answer, reason, request, retry};
 use rand::{Rng as _, SeedableRng as _};
 
-/// Events of one answer.
+/// Number of events in each answer.
 const EVENTS_PER_ANSWER: u32 = 8;
 
-/// Most attempts of a request.
+/// Limit on the attempts of a request.
 const MAX_ATTEMPTS: u8 = 6;
 
-/// Of how many frames one meets each kind of fault.
+/// A fault of each kind is drawn with a probability of one in this number.
 const FRAMES_PER_FAULT: u32 = 12;
 
-/// What became of the answers.
+/// Counts of answers by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Answers that their callers took for whole.
+    /// Answers that were delivered as complete.
     pub complete: u64,
-    /// Answers that ended as an explicit error.
+    /// Answers that ended with an explicit error.
     pub failed: u64,
-    /// Whole answers of which an attempt was resumed.
+    /// Complete answers with at least one resumed attempt.
     pub resumed: u64,
-    /// Answers that were cut short but taken for whole, joined from two runs, or another's.
+    /// Answers with a wrong body: truncated but delivered as complete, mixed from two runs, or with
+    /// data of another request.
     pub invalid: u64,
 }
 
-/// Text of an event, different for each request, run and event.
+/// Returns the text of an event, which is unique for the request, run and event.
 fn event_text(request: u64, run: u8, event: u32) -> Bytes {
     Bytes::from(format!("[{request}.{run}.{event}]"))
 }
@@ -69,15 +70,15 @@
     request: u64,
     stream: bool,
     assembler: answer::Assembler,
-    /// Frames that were sent for this request or another and may arrive late.
+    /// Earlier frames of this request and frames of another one, which may still arrive.
     stray: Vec<answer::Frame>,
     body: Vec<u8>,
-    /// Run at the endpoint whose answer is under way.
+    /// Number of the attempt that started the current run at the endpoint.
     run: u8,
     resumed: bool,
 }
 
-/// Sends answers to so many requests, every second one a stream.
+/// Sends the answers to the given number of requests, every second one of which is a stream.
 #[must_use]
 pub fn run(requests: u64, seed: u64) -> Tally {
     let mut tally = Tally::default();
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Sends the frames of an attempt with faults, and returns how it failed.
+    /// Sends the frames of an attempt with faults and returns its failure, if it failed.
     fn attempt(&mut self, frames: &[answer::Frame]) -> Option<retry::Failure> {
         self.assembler.mark_sent();
         for frame in frames {
--- a/crates/measure/src/actions/apply.rs
+++ b/crates/measure/src/actions/apply.rs
@@ -1,4 +1,4 @@
-//! What each step of a trial does.
+//! Effect of each step on the model.
 
 use bytes::Bytes;
 use pistachiochute_core::{journal, outcome, reason};
@@ -9,8 +9,8 @@
 };
 use crate::actions::step::Step;
 
-/// Base of the status that the endpoint answers; the attempt's number is added, so that every
-/// answer tells whose it is.
+/// The endpoint answers with this status plus the attempt's number, so that each answer identifies
+/// its attempt.
 const BASE_STATUS: u16 = 200;
 
 impl Model {
@@ -18,7 +18,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the promise that the step breaks.
+    /// Returns the guarantee that the step violates.
     pub fn apply(&mut self, step: Step) -> Result<(), Violation> {
         match step {
             Step::SendRequest {
@@ -68,7 +68,7 @@
         self.handle_event(host, journal::Event::Begin(begin))
     }
 
-    /// Gives an event to the journal of a host and takes up its effects.
+    /// Passes an event to the journal of a host and applies its effects.
     fn handle_event(&mut self, host: usize, event: journal::Event) -> Result<(), Violation> {
         let clock = self.journal_clock(host);
         let now = self.now();
@@ -80,7 +80,8 @@
         Ok(())
     }
 
-    /// Clock that the journal is given.
+    /// Wall-clock reading that the journal of a host gets. It is stale in
+    /// [`Variant::ClockAtArrival`].
     fn journal_clock(&self, host: usize) -> journal::UnixMillis {
         let arrivals = self.requests.iter().filter(|req| req.host == host);
         match self.variant {
@@ -129,7 +130,8 @@
         Ok(())
     }
 
-    /// Dispatches the attempts of a swap that was only just sent, in the variant that does so.
+    /// In [`Variant::DispatchBeforeConfirmation`], permits the dispatch of the attempts that a swap
+    /// reserves, although the swap is not confirmed yet.
     fn dispatch_unconfirmed(&mut self, content: &journal::Shard) {
         if self.variant != Variant::DispatchBeforeConfirmation {
             return;
@@ -146,7 +148,8 @@
         }
     }
 
-    /// Checks what a caller is told without an answer of the endpoint to its own request.
+    /// Checks and records an answer that the journal gives to a caller instead of dispatching the
+    /// request.
     fn check_answer(&mut self, i: usize, answer: &journal::Answer) -> Result<(), Violation> {
         let outcome = match answer {
             journal::Answer::Recorded(recorded) => {
@@ -181,7 +184,7 @@
         Ok(())
     }
 
-    /// Carries out a call at the service and returns its answer.
+    /// Executes a call at the key-value service and returns its result.
     fn execute_call(&mut self, call: &Call) -> CallResult {
         let stored = self.store.get(&call.shard).cloned().unwrap_or_default();
         let Some((expected, content)) = &call.swap else {
@@ -248,7 +251,7 @@
         self.handle_event(host, event)
     }
 
-    /// Runs a request at the endpoint, if its time has not passed.
+    /// Runs a request at the endpoint unless its dispatch deadline has passed.
     fn dispatch(&mut self, i: usize) -> Result<(), Violation> {
         let Stage::Permitted { not_after } = self.requests[i].stage else {
             return Ok(());
@@ -278,7 +281,7 @@
         self.finish(i, journal::AttemptResult::Run(recorded))
     }
 
-    /// Ends a request that was permitted, at its caller and in the journal.
+    /// Ends a request whose dispatch was permitted: answers its caller and informs the journal.
     fn finish(&mut self, i: usize, result: journal::AttemptResult) -> Result<(), Violation> {
         let req = &mut self.requests[i];
         req.stage = Stage::Ended;
@@ -300,7 +303,7 @@
         self.handle_event(host, journal::Event::Cancel(attempt_id(i)))
     }
 
-    /// Replaces a host by one that knows nothing. What it sent may still take effect.
+    /// Replaces a host by one with empty state. Swaps that it has sent may still be executed.
     fn kill(&mut self, host: usize) {
         self.remaining.kills -= 1;
         self.hosts[host].journal = journal::Journal::new(journal_config());
@@ -319,7 +322,7 @@
         }
     }
 
-    /// Whether a host may delete a shard.
+    /// Whether some shard is old enough for the host to delete it.
     pub(super) fn can_prune(&self, host: usize) -> bool {
         let first_retained_segment = self.first_retained_segment(host);
         self.store
--- a/crates/measure/src/actions/load.rs
+++ b/crates/measure/src/actions/load.rs
@@ -1,7 +1,7 @@
-//! Calls to the key-value service and added latency of the journal at the size to design for.
+//! Simulation of the journal at the design size: its calls to the key-value service and the
+//! latency that it adds.
 //!
-//! The machines of the journal run in virtual time against a service that answers after a fixed
-//! round trip.
+//! The journals run in virtual time against a key-value service with a fixed round-trip time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -11,33 +11,33 @@
 use pistachiochute_core::{journal, time};
 use rand::{Rng as _, SeedableRng as _};
 
-/// Round trip to the key-value service.
+/// Round-trip time to the key-value service.
 pub const ROUND_TRIP: Duration = Duration::from_millis(4);
 
-/// Time that an action takes at its endpoint.
+/// Time from the dispatch of an action to its answer.
 const ACTION_DURATION: Duration = Duration::from_millis(200);
 
-/// Measured span of virtual time, in seconds.
+/// Simulated time, in seconds.
 const DURATION_S: u64 = 20;
 
-/// Wall clock at the start, in milliseconds since the epoch.
+/// Wall-clock time at the start, in milliseconds since the epoch.
 const START_UNIX_MS: u64 = 1_000_000_000;
 
 const SEED: u64 = 6;
 
-/// Who writes to the shards.
+/// Which hosts write to the shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Writers {
-    /// One host for each slot.
+    /// One host per slot.
     PerSlot,
-    /// Every owner of a service endpoint, of which there are so many.
+    /// The given number of hosts, each the owner of a service endpoint. Actions go to a random one.
     Owners(usize),
 }
 
-/// What a run measured.
+/// Result of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct JournalLoad {
-    /// Swaps a second, refused ones included.
+    /// Compare-and-swap calls a second, including those that fail on a conflict.
     pub swaps_per_s: f64,
     /// Reads a second.
     pub reads_per_s: f64,
@@ -45,9 +45,9 @@
     pub bytes_per_s: f64,
     /// Mean time from the arrival of an action to its dispatch, in milliseconds.
     pub mean_latency_ms: f64,
-    /// The same for 99 in 100 actions, in milliseconds.
+    /// 99th percentile of the same time, in milliseconds.
     pub p99_latency_ms: f64,
-    /// Actions that were refused.
+    /// Actions that the journal answered without a dispatch.
     pub refused: u64,
 }
 
@@ -58,7 +58,7 @@
     AtHost(usize, journal::Event),
 }
 
-/// Entry of the queue of future events, ordered by time and then by number.
+/// Event with its time and sequence number, ordered by these two.
 struct QueueEntry(time::Time, u64, QueuedEvent);
 
 impl PartialEq for QueueEntry {
@@ -89,7 +89,7 @@
     queue: BinaryHeap<Reverse<QueueEntry>>,
     scheduled: u64,
     hosts: Vec<journal::Journal>,
-    /// Next tick of each host.
+    /// Time of the next scheduled tick of each host.
     ticks: Vec<Option<time::Time>>,
     store: BTreeMap<journal::ShardId, journal::StoredShard>,
     revision: u64,
@@ -101,7 +101,7 @@
     refused: u64,
 }
 
-/// Runs the journal at a rate of actions.
+/// Simulates the journal with actions that arrive as a Poisson process at the given rate.
 #[must_use]
 pub fn run(cfg: journal::Config, writers: Writers, actions_per_s: f64) -> JournalLoad {
     let hosts = match writers {
@@ -183,7 +183,8 @@
         self.schedule_tick(host, now);
     }
 
-    /// Schedules the next tick of a host, unless one as early is scheduled.
+    /// Schedules a tick at the wake-up time of a host's journal, unless an earlier or equal one is
+    /// already scheduled.
     fn schedule_tick(&mut self, host: usize, now: time::Time) {
         let Some(wakeup) = self.hosts[host].wakeup() else {
             return;
--- a/crates/measure/src/actions/mod.rs
+++ b/crates/measure/src/actions/mod.rs
@@ -1,8 +1,12 @@
-//! Answers, retries and actions under faults.
+//! Checks and measurements of the action journal, answer delivery and retries under faults.
 //!
-//! [`search`] tries every order of the steps of a small trial of the journal, [`schedules`] tries
-//! long random orders of a larger one, and [`load`] runs the journal at the size to design for.
-//! [`answers`] sends answers over a faulty network, and [`outage`] counts attempts at an outage.
+//! An action is a request that is not idempotent; the journal runs it at most once per
+//! idempotency key.
+//!
+//! [`search`] explores a small [`model`] of the journal exhaustively, [`schedules`] runs a larger
+//! one through long random schedules, and [`load`] simulates the journal at the design size.
+//! [`answers`] sends answers over a faulty network, and [`outage`] counts attempts per request
+//! during a total outage.
 
 pub mod answers;
 mod apply;
--- a/crates/measure/src/actions/model.rs
+++ b/crates/measure/src/actions/model.rs
@@ -1,70 +1,71 @@
-//! A few hosts with their journals, the key-value service, one service endpoint and its callers,
-//! every step of which can happen in any order.
+//! Model of a few hosts with their journals, the key-value service, one service endpoint and its
+//! callers, whose steps can interleave in any order.
 //!
-//! A host that is paused is one that takes no step while others do, so pauses need no state of
-//! their own. Work of a machine and the delivery of what it asked for are separate steps. A
-//! request that may reach the endpoint counts as run at once: no promise is easier to break if it
-//! runs later or not at all.
+//! A paused host is one that takes no step while others do, so pauses need no state of their own.
+//! The execution of a call and the delivery of its answer are separate steps. A request that may
+//! reach the endpoint counts as run at once, since running it later or not at all cannot violate
+//! a guarantee that running it at once does not.
 
 use std::collections::BTreeMap;
 
 use pistachiochute_core::{journal, outcome, time};
 
-/// Shortcuts that an implementation could take, to show that the checks find them.
+/// The protocol, or a variant of it with a known fault that the checks have to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Variant {
-    /// No shortcut.
+    /// The protocol as implemented.
     Sound,
-    /// An attempt is dispatched when its swap is sent.
+    /// An attempt is dispatched when its swap is sent, before the swap is confirmed.
     DispatchBeforeConfirmation,
-    /// A lost answer to a swap is taken for success.
+    /// A swap whose answer is lost is treated as successful.
     LostAnswerIsSuccess,
-    /// The retention window is checked with the clock as it was when the attempt came.
+    /// The journal uses the clock reading of the host's latest request arrival, so the retention
+    /// window and deadlines are checked against a stale time.
     ClockAtArrival,
-    /// Shards are deleted without allowing for the skew of the clocks.
+    /// Shards are deleted without a margin for clock skew.
     PruneWithoutSkew,
-    /// A dispatched attempt whose connection was lost is recorded as not run.
+    /// A dispatched attempt whose connection is lost is recorded as not run.
     LostConnectionIsNotRun,
 }
 
-/// How many of each step a trial may take.
+/// Size of a model and how many faults and other events of each kind may occur in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Scope {
     /// Hosts.
     pub hosts: usize,
     /// Keys, all in one shard.
     pub keys: u8,
-    /// Requests of callers, first ones and repeats.
+    /// Requests of callers, retries with the same key included.
     pub requests: u8,
-    /// Requests that reuse a key with another body.
+    /// How many of the requests may use a key with another body.
     pub key_reuses: u8,
-    /// Calls to the service that fail, with or without effect.
+    /// Calls to the key-value service that fail or whose answer is lost, with or without effect.
     pub store_faults: u8,
-    /// Connections to the endpoint that fail.
+    /// Connections to the endpoint that fail or are lost.
     pub endpoint_faults: u8,
     /// Hosts that are killed and replaced.
     pub kills: u8,
-    /// Callers that go away.
+    /// Requests that their callers cancel.
     pub cancels: u8,
-    /// Phases of [`PHASES_MS`] that the trial goes through, in order.
+    /// Indices into [`PHASES_MS`] of the phases that the model passes through, in order.
     pub phases: &'static [usize],
 }
 
-/// True time, in milliseconds since the epoch, of each phase of a trial. The steps of a trial
-/// stay in a phase until it moves to the next one.
+/// True time of each phase, in milliseconds since the epoch. Time stands still within a phase.
 ///
-/// The second lies after the deadline of an attempt of the first. In the third only the host whose
-/// clock is behind accepts the key, and in the last no host does and the host whose clock is ahead
-/// may delete the shard.
+/// The second phase is after the deadline of attempts that begin in the first. In the third, only
+/// hosts whose clocks are behind accept the key. In the last, no host accepts it, and hosts whose
+/// clocks are ahead may delete the shard.
 pub const PHASES_MS: [u64; 4] = [1_049, 1_105, 1_154, 1_155];
 
-/// Time in every key: the last of its segment, which is the worst case for deletion.
+/// Time of issue of every key, in milliseconds since the epoch. It is the last millisecond of its
+/// segment, which leaves the least time before the shard may be deleted.
 const KEY_ISSUED_AT: journal::UnixMillis = journal::UnixMillis(1_049);
 
-/// Time within which an attempt has to be dispatched, in milliseconds.
+/// Time from the arrival of a request to its dispatch deadline, in milliseconds.
 const DISPATCH_TIMEOUT_MS: u64 = 40;
 
-/// Settings of the journals: a short window and no pacing.
+/// Returns the configuration of the journals: a short retention window and no delay of swaps.
 #[must_use]
 pub fn journal_config() -> journal::Config {
     journal::Config {
@@ -87,13 +88,13 @@
     pub(super) journal: journal::Journal,
     /// Error of the wall clock, in milliseconds.
     pub(super) skew_ms: i64,
-    /// Phase in which the journal last took an event.
+    /// Phase in which the journal last handled an event.
     pub(super) phase: usize,
-    /// Answers of the service that the host has not taken yet.
+    /// Results of calls that the host has not handled yet, oldest first.
     pub(super) inbox: Vec<CallResult>,
 }
 
-/// What the service answered, or that no answer came.
+/// Result of a call to the key-value service, as its host sees it.
 #[derive(Clone, Debug, Hash)]
 pub(super) enum CallResult {
     Loaded(journal::CallId, journal::StoredShard),
@@ -104,7 +105,7 @@
     SwapUnknown(journal::CallId),
 }
 
-/// A call to the service that was sent and not carried out yet.
+/// A call to the key-value service that has been sent but not executed yet.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct Call {
     pub(super) host: usize,
@@ -114,16 +115,16 @@
     pub(super) swap: Option<(journal::ModRevision, journal::Shard)>,
 }
 
-/// Where a request of a caller stands.
+/// Progress of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Stage {
-    /// The journal of its host has it.
+    /// The journal of its host has not decided about it yet.
     InJournal,
     /// The host may dispatch it.
     Permitted { not_after: journal::UnixMillis },
-    /// The endpoint ran it and its answer is on the way back.
+    /// The endpoint ran it and its answer is in flight.
     Ran,
-    /// Nothing more happens to it at its host.
+    /// Its host has ended it.
     Ended,
 }
 
@@ -136,44 +137,46 @@
     pub(super) stage: Stage,
     /// Whether the endpoint ran it.
     pub(super) ran: bool,
-    /// Outcome that the caller was told, or `None` if it got no answer.
+    /// Outcome in the answer to the caller, or `None` if the caller got no answer.
     pub(super) reported_outcome: Option<outcome::Outcome>,
-    /// Clock of the host when the request came.
+    /// Wall clock of the host when the request arrived.
     pub(super) arrived_at: journal::UnixMillis,
 }
 
-/// A promise that was broken.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// An action ran more than once.
     RanTwice,
-    /// A caller was told that its request was not run, but it was.
+    /// A caller got the outcome "not run" for a request that ran.
     FalseNotRun,
-    /// A caller was given the answer of a request that did not run, or of another body.
+    /// A caller got the answer of a request that did not run or that had another key or body.
     WrongAnswer,
-    /// A key was refused as reused with the same body.
+    /// A request was refused for reuse of its key with another body, but every request with the
+    /// key had the same body.
     FalseReuse,
 }
 
-/// State of a trial.
+/// State of the model.
 #[derive(Clone, Debug, Hash)]
 pub struct Model {
     pub(super) variant: Variant,
+    /// Requests, faults and other events that may still occur.
     pub(super) remaining: Scope,
-    /// Index in the phases of the scope.
+    /// Index into the phases of the scope.
     pub(super) phase: usize,
     pub(super) hosts: Vec<Host>,
     pub(super) store: BTreeMap<journal::ShardId, journal::StoredShard>,
     pub(super) revision: u64,
     pub(super) calls: Vec<Call>,
-    /// Swaps whose author has given up waiting, which may still take effect.
+    /// Swaps that have timed out at their hosts but may still be executed.
     pub(super) delayed: Vec<Call>,
-    /// Requests; the index is the attempt's number.
+    /// Requests, by attempt number.
     pub(super) requests: Vec<Request>,
 }
 
 impl Model {
-    /// Starts a trial.
+    /// Creates the initial state.
     #[must_use]
     pub fn new(scope: Scope, variant: Variant) -> Self {
         let host = |i: usize| Host {
@@ -195,13 +198,13 @@
         }
     }
 
-    /// Runs of all keys.
+    /// Number of requests that ran at the endpoint.
     #[must_use]
     pub fn runs(&self) -> usize {
         self.requests.iter().filter(|req| req.ran).count()
     }
 
-    /// Most runs of one key.
+    /// Largest number of runs of any key.
     #[must_use]
     pub fn runs_per_key_max(&self) -> usize {
         let runs = |key| {
@@ -213,13 +216,13 @@
         keys.map(|key| runs(key).count()).max().unwrap_or(0)
     }
 
-    /// Wall clock of a host.
+    /// Reads the wall clock of a host.
     pub(super) fn clock(&self, host: usize) -> journal::UnixMillis {
         let skew_ms = self.hosts[host].skew_ms;
         journal::UnixMillis(self.true_ms().saturating_add_signed(skew_ms))
     }
 
-    /// Monotonic clock of the hosts.
+    /// Reads the monotonic clock, which all hosts share.
     pub(super) fn now(&self) -> time::Time {
         time::Time::from_millis(self.true_ms())
     }
@@ -238,7 +241,7 @@
         }
     }
 
-    /// First promise that is broken, if any.
+    /// Returns a guarantee that the state violates, if any.
     #[must_use]
     pub fn violation(&self) -> Option<Violation> {
         if self.runs_per_key_max() > 1 {
@@ -253,14 +256,14 @@
     }
 }
 
-/// Id of the attempt with the given number.
+/// Returns the id of the attempt with the given number.
 pub(super) fn attempt_id(number: usize) -> journal::AttemptId {
     let mut id = [0; 16];
     id[0] = number as u8;
     journal::AttemptId(id)
 }
 
-/// Number of the attempt with the given id.
+/// Returns the number of the attempt with the given id.
 pub(super) const fn attempt_number(id: journal::AttemptId) -> usize {
     id.0[0] as usize
 }
@@ -272,7 +275,7 @@
     }
 }
 
-/// Fingerprint of the body that a key is first used with, or of another body.
+/// Returns the fingerprint of the usual body of a key, or of another body.
 pub(super) const fn fingerprint(other_body: bool) -> journal::Fingerprint {
     journal::Fingerprint([other_body as u8; 16])
 }
--- a/crates/measure/src/actions/outage.rs
+++ b/crates/measure/src/actions/outage.rs
@@ -1,22 +1,23 @@
-//! Attempts at a total outage, and the time until a silent link is found.
+//! Attempts per request during a total outage, and the time to detect a silent link.
 
 use std::time::Duration;
 
 use pistachiochute_core::{liveness, outcome, reason, request, retry, time};
 
-/// Requests that one of 420 hosts gets a second, of 4,200 in all.
+/// Request rate at one host at the design size: 4,200 requests a second at 420 hosts.
 const REQUESTS_PER_S: u64 = 10;
 
 /// Length of the outage, in seconds.
 const OUTAGE_S: u64 = 60;
 
-/// Time that a caller gives its request.
+/// Timeout of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time between two tokens of a stream.
+/// Interval between the tokens of a stream.
 const TOKEN_INTERVAL: Duration = Duration::from_millis(26);
 
-/// Attempts per request at one host while no endpoint can be connected, for the given budget.
+/// Returns the mean number of attempts per request at one host while every connection to an
+/// endpoint fails, for the given retry budget.
 #[must_use]
 pub fn attempts_per_request(budget: retry::BudgetConfig) -> f64 {
     let mut budget = retry::Budget::new(budget);
@@ -47,8 +48,8 @@
     u64::from(req.attempts())
 }
 
-/// Longest time from the last byte that arrived on a link until it is found silent, over the
-/// points of a second at which it can fall silent.
+/// Returns the longest time from the last byte received on a link to the detection of its silence.
+/// The link falls silent at each millisecond of one second in turn.
 #[must_use]
 pub fn max_silence_detection_time() -> Duration {
     let starts = (0..1_000).map(time::Time::from_millis);
--- a/crates/measure/src/actions/readings.rs
+++ b/crates/measure/src/actions/readings.rs
@@ -1,4 +1,4 @@
-//! The figures of answers, retries and actions.
+//! Readings of the `actions` group.
 
 use std::thread;
 
@@ -8,34 +8,36 @@
 use crate::actions::{answers, load, outage, schedules, scopes, search};
 use crate::figure;
 
-/// Seeded fault schedules of the journal.
+/// Number of random fault schedules of the journal model.
 const SCHEDULE_COUNT: u64 = 120_000;
 
-/// Requests whose answers are sent with faults.
+/// Number of requests whose answers are sent over a faulty network.
 const ANSWER_COUNT: u64 = 100_000;
 
 const ANSWERS_SEED: u64 = 0xa115;
 
-/// Most states of one search.
+/// Limit on the states of one search.
 const MAX_STATES: u64 = 2_000_000;
 
-/// Requests a second at the size to design for.
+/// Request rate at the design size.
 const REQUESTS_PER_S: f64 = 4_200.0;
 
-/// Replicas of services at that size, in the proportion of today's (3 of 23 of 930).
+/// Service endpoints at the design size, each owned by another host. Current deployments have 3
+/// service endpoints among 23; the same share of 930 endpoints is 121.
 const SERVICE_OWNERS: usize = 121;
 
-/// Seconds of a lease and its renewals in that time, for the baseline.
+/// Renewals a second of one lease in the alternative design that is measured for comparison: 3 in
+/// a time to live of 10 s.
 const LEASE_RENEWALS_PER_S: f64 = 3.0 / 10.0;
 
-/// Writes of one action when each key is a record of its own: reservation and outcome.
+/// Writes per action if each key has a stored value of its own: reservation and outcome.
 const WRITES_PER_RECORD: f64 = 2.0;
 
-/// Measures answers, retries and actions.
+/// Runs the measurements of the group.
 ///
 /// # Errors
 ///
-/// Returns an error if a search was cut short or a thread of it ended.
+/// Returns an error if a search finds a violation, reaches its limit on states or panics.
 pub fn run() -> eyre::Result<Vec<figure::Reading>> {
     let (explored, tally) = thread::scope(|scope| {
         let large = scope.spawn(|| explore(scopes::LARGE));
@@ -87,7 +89,11 @@
         .map_err(|_| eyre::eyre!("a search panicked"))?
 }
 
-/// Searches the scopes and returns the number of states, none of which is bad.
+/// Searches the scopes and returns the number of states explored.
+///
+/// # Errors
+///
+/// Returns an error if a search finds a violation or reaches its limit on states.
 fn explore(scopes: &[(&str, Scope)]) -> eyre::Result<u64> {
     let mut states = 0;
     for (name, scope) in scopes {
@@ -101,8 +107,8 @@
     Ok(states)
 }
 
-/// Load of the journal at 1, 5 and 20% actions, with one writer a slot. The baseline is a record
-/// per key.
+/// Load of the journal with 1, 5 and 20% of the requests being actions and one writer per slot.
+/// The baseline stores one value per key.
 fn journal_load_readings() -> Vec<figure::Reading> {
     let cfg = journal::Config::default();
     let at = |share: f64| load::run(cfg, load::Writers::PerSlot, REQUESTS_PER_S * share);
@@ -182,8 +188,8 @@
     ]
 }
 
-/// Writes a second if each owner holds a lease on shards of its own and commits in groups: its
-/// swaps and the renewals of its lease.
+/// Writes a second of a design in which each owner holds a lease on its own shards and commits in
+/// groups: the swaps plus the lease renewals.
 fn leased_writes_per_s(share: f64) -> f64 {
     let cfg = journal::Config {
         slots: SERVICE_OWNERS as u16,
--- a/crates/measure/src/actions/schedules.rs
+++ b/crates/measure/src/actions/schedules.rs
@@ -1,11 +1,11 @@
-//! Seeded fault schedules: long random orders of the steps of a trial.
+//! Random fault schedules: long seeded sequences of steps of the model.
 
 use rand::{Rng as _, SeedableRng as _};
 
 use crate::actions::model::{Model, Scope, Variant, Violation};
 use crate::actions::step::Step;
 
-/// Scope of a schedule; larger than an exhaustive search can reach.
+/// Scope of each schedule, too large for an exhaustive search.
 pub const SCOPE: Scope = Scope {
     hosts: 3,
     keys: 3,
@@ -18,29 +18,30 @@
     phases: &[0, 1, 2, 3],
 };
 
-/// Most steps of a schedule.
+/// Largest number of steps drawn for a schedule, skipped ones included.
 const MAX_STEPS: usize = 400;
 
-/// Of how many choices of a step that begins a request, moves time or kills a host one is taken.
+/// Out of how many draws of a rare step one is taken. Steps that send a request, advance time or
+/// kill a host are rare.
 const RARE_STEP_DIVISOR: u32 = 12;
 
-/// What the schedules found.
+/// Totals over schedules.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Schedules.
     pub schedules: u64,
-    /// Actions that ran.
+    /// Requests that ran at the endpoint.
     pub runs: u64,
-    /// Most runs of one key.
+    /// Largest number of runs of one key.
     pub runs_per_key_max: u64,
-    /// Callers that were told "not run" of a request that ran.
+    /// Schedules in which a caller got the outcome "not run" for a request that ran.
     pub false_not_run: u64,
-    /// Callers that were given another request's answer, or a false refusal.
+    /// Schedules in which a caller got a wrong answer or a false refusal for key reuse.
     pub wrong_answers: u64,
 }
 
 impl Tally {
-    /// Adds the tally of other schedules.
+    /// Merges the totals of other schedules.
     #[must_use]
     pub fn merge(self, other: Self) -> Self {
         Self {
@@ -53,7 +54,7 @@
     }
 }
 
-/// Runs the schedules of a range of seeds.
+/// Runs one schedule for each seed.
 #[must_use]
 pub fn run(seeds: std::ops::Range<u64>, variant: Variant) -> Tally {
     seeds
--- a/crates/measure/src/actions/scopes.rs
+++ b/crates/measure/src/actions/scopes.rs
@@ -1,8 +1,8 @@
-//! Scopes of the bounded exhaustive searches, each round one kind of fault.
+//! Scopes of the exhaustive searches, each of which focuses on one kind of fault.
 
 use crate::actions::model::Scope;
 
-/// Two hosts and two requests with one key, without faults, while the key is fresh.
+/// Two hosts and two requests with one key, without faults or the passage of time.
 const TWO_HOSTS: Scope = Scope {
     hosts: 2,
     keys: 1,
@@ -15,13 +15,13 @@
     phases: &[0],
 };
 
-/// Phases from a fresh key to the deletion of its shard.
+/// Phases from the issue of a key to the deletion of its shard.
 const TO_DELETION: &[usize] = &[0, 2, 3];
 
-/// Phases from a fresh key to the deadline of its attempts.
+/// Phases from the issue of a key to a time after the deadline of its attempts.
 const TO_DEADLINE: &[usize] = &[0, 1];
 
-/// Scopes that a debug build searches in seconds.
+/// Scopes that a debug build searches within seconds, with their names.
 pub const SMALL: &[(&str, Scope)] = &[
     (
         "lost answers and late writes",
@@ -86,7 +86,7 @@
     ),
 ];
 
-/// Scopes that a release build searches in tens of seconds.
+/// Scopes that a release build searches within tens of seconds, with their names.
 pub const LARGE: &[(&str, Scope)] = &[
     (
         "three lost answers or late writes",
--- a/crates/measure/src/actions/search.rs
+++ b/crates/measure/src/actions/search.rs
@@ -1,4 +1,4 @@
-//! Bounded exhaustive search: every order of the steps of a trial.
+//! Bounded exhaustive search of the model's states, over every order of its steps.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
@@ -7,31 +7,31 @@
 use crate::actions::model::{Model, Scope, Variant, Violation};
 use crate::actions::step::Step;
 
-/// A promise that a search found broken, and the steps that break it.
+/// A violated guarantee and the steps that lead to the violation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Counterexample {
-    /// The promise.
+    /// The violated guarantee.
     pub violation: Violation,
-    /// The steps.
+    /// Steps from the initial state, in order.
     pub steps: Vec<Step>,
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SearchResult {
-    /// Different states reached.
+    /// States expanded. They are distinct up to collisions of their 64-bit fingerprints.
     pub states: u64,
-    /// Steps taken.
+    /// Steps tried.
     pub steps: u64,
-    /// Most runs of one key in any state.
+    /// Largest number of runs of one key in any state.
     pub runs_per_key_max: usize,
-    /// First broken promise. The search ends there.
+    /// First violation found, which ends the search.
     pub counterexample: Option<Counterexample>,
-    /// Whether the search ended at its bound on states, before every order was tried.
+    /// Whether the search reached its limit on states before it had explored them all.
     pub truncated: bool,
 }
 
-/// Steps from the start of a trial to a state, latest first.
+/// Steps from the initial state to another one, as a linked list with the latest step first.
 struct Path {
     step: Step,
     previous: Option<Rc<Path>>,
@@ -54,7 +54,7 @@
     hasher.finish()
 }
 
-/// Tries every order of the steps that the scope allows, up to a bound on states.
+/// Explores every state that the scope allows, up to a limit on the number of states.
 #[must_use]
 pub fn search(scope: Scope, variant: Variant, max_states: u64) -> SearchResult {
     let start = Model::new(scope, variant);
--- a/crates/measure/src/actions/step.rs
+++ b/crates/measure/src/actions/step.rs
@@ -1,53 +1,56 @@
-//! The steps that a trial can take.
+//! Steps (atomic transitions) of the journal model.
 
 use crate::actions::model;
 
-/// One step of a trial. Indices are those of the world's lists before the step.
+/// One step of the model.
+///
+/// A `usize` is an index into the model's calls, delayed swaps, requests or hosts before the step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// A caller sends a request to a host.
     SendRequest {
-        /// Host.
+        /// Host that receives the request.
         host: usize,
-        /// Key.
+        /// Idempotency key.
         key: u8,
-        /// Whether the body differs from the key's first one.
+        /// Whether the body differs from the usual one of the key.
         other_body: bool,
     },
-    /// The service carries out a call and its answer is on the way.
+    /// The key-value service executes a call and sends its answer.
     ServeCall(usize),
-    /// The service carries out a call and its answer is lost.
+    /// The key-value service executes a swap, but its answer is lost.
     LoseCallAnswer(usize),
-    /// A call is given up and may take effect later.
+    /// A swap times out at its host and may still be executed later.
     DelayCall(usize),
-    /// A call fails without effect.
+    /// A call fails without effect, and its host learns so.
     FailCall(usize),
-    /// A swap that was given up takes effect.
+    /// The key-value service executes a swap that has timed out at its host.
     ApplyDelayedCall(usize),
-    /// A host takes the answer that came first.
+    /// A host handles the oldest answer in its inbox.
     DeliverCallAnswer(usize),
-    /// A host sends a request that it may dispatch, and the endpoint runs it.
+    /// A host dispatches a request whose reservation is confirmed, and the endpoint runs it. If
+    /// the deadline of the attempt has passed, the host ends it as not run instead.
     Dispatch(usize),
     /// A host fails to connect to the endpoint.
     FailConnect(usize),
-    /// The connection to the endpoint is lost.
+    /// The connection to the endpoint is lost after the request was sent.
     LoseConnection(usize),
     /// The endpoint's answer arrives at the host.
     DeliverEndpointAnswer(usize),
-    /// A caller goes away.
+    /// A caller cancels its request.
     Cancel(usize),
-    /// A host is killed and replaced by a new one.
+    /// A host is killed and replaced by one with empty state.
     Kill(usize),
-    /// A host deletes the shards whose keys every host refuses.
+    /// A host deletes the shards whose keys are older than the retention window.
     Prune(usize),
-    /// A host looks at its clock.
+    /// The journal of a host handles a timer tick.
     Tick(usize),
-    /// Time moves to the next phase.
+    /// Time advances to the next phase.
     AdvancePhase,
 }
 
 impl model::Model {
-    /// Steps that the trial can take next.
+    /// Returns the steps that can be taken in this state, in a fixed order.
     #[must_use]
     pub fn enabled_steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
--- a/crates/measure/src/bounds.rs
+++ b/crates/measure/src/bounds.rs
@@ -1,4 +1,6 @@
-//! Regression bounds, read from one file that states the promise or target behind each.
+//! Regression bounds of figures.
+//!
+//! All bounds are in `bounds.json`, each with the guarantee or target that it is derived from.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,21 +9,21 @@
 
 use crate::figure;
 
-/// The bounds file, built into the program so that every run uses the same bounds.
+/// Contents of the bounds file, embedded so that every run uses the same bounds.
 const BOUNDS: &str = include_str!("../bounds.json");
 
 /// Limit of a figure.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Limit {
-    /// The value is at most this.
+    /// Upper limit, inclusive.
     AtMost(f64),
-    /// The value is at least this.
+    /// Lower limit, inclusive.
     AtLeast(f64),
 }
 
 impl Limit {
-    /// Whether the value keeps the limit. A value that is not a number keeps none.
+    /// Whether the value is within the limit. NaN never is.
     #[must_use]
     pub fn is_met_by(self, value: f64) -> bool {
         match self {
@@ -40,27 +42,27 @@
     }
 }
 
-/// Bound of a figure and the promise or target that it comes from.
+/// Bound of a figure, with its justification.
 #[derive(Clone, Debug, PartialEq, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
     /// Limit of the value.
     pub limit: Limit,
-    /// Promise or target that the limit comes from.
+    /// Guarantee or target that the limit is derived from.
     pub source: String,
 }
 
-/// Bounds by the name of their figure.
+/// Bounds by figure name.
 #[derive(Clone, Debug, PartialEq, serde::Deserialize)]
 #[serde(transparent)]
 pub struct Bounds(BTreeMap<String, Bound>);
 
 impl Bounds {
-    /// Reads the bounds that are built into the program.
+    /// Parses the embedded bounds file.
     ///
     /// # Errors
     ///
-    /// Returns an error if the file is not a map of bounds.
+    /// Returns an error if the file is not a JSON object of bounds by figure name.
     pub fn load() -> eyre::Result<Self> {
         serde_json::from_str(BOUNDS).wrap_err("bounds.json")
     }
@@ -70,7 +72,7 @@
         self.0.keys().map(String::as_str)
     }
 
-    /// Compares a reading with its bound.
+    /// Compares a reading with its bound. A reading without a bound passes.
     #[must_use]
     pub fn evaluate(&self, reading: &figure::Reading) -> figure::Figure {
         let bound = self.0.get(reading.name);
@@ -84,8 +86,8 @@
         }
     }
 
-    /// Figures that have a bound and are not among those measured. Their value is not a number,
-    /// which keeps no bound.
+    /// Returns a failed figure with the value NaN for each bound whose figure is missing from
+    /// `measured`.
     #[must_use]
     pub fn unmeasured(&self, measured: &[figure::Figure]) -> Vec<figure::Figure> {
         let missing = |name: &&String| measured.iter().all(|figure| figure.name != **name);
--- a/crates/measure/src/figure.rs
+++ b/crates/measure/src/figure.rs
@@ -1,4 +1,4 @@
-//! Figures that a measurement gives.
+//! Named values that a measurement produces, before and after comparison with their bounds.
 
 /// A measured value, before it is compared with its bound.
 #[derive(Clone, Debug, PartialEq)]
@@ -9,7 +9,7 @@
     pub value: f64,
     /// Unit of the value.
     pub unit: &'static str,
-    /// Value that the baseline gives on the same trace, if one was run.
+    /// Value of the baseline algorithm under the same load, if there is a baseline.
     pub baseline: Option<f64>,
 }
 
@@ -22,10 +22,10 @@
     pub value: f64,
     /// Unit of the value.
     pub unit: String,
-    /// Value that the baseline gives on the same trace, if one was run.
+    /// Value of the baseline algorithm under the same load, if there is a baseline.
     pub baseline: Option<f64>,
     /// Bound of the value as text, such as `>= 0.95`, or `None` if the figure is only reported.
     pub bound: Option<String>,
-    /// Whether the value keeps its bound. True for a figure without a bound.
+    /// Whether the value is within its bound. True for a figure without a bound.
     pub ok: bool,
 }
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -1,7 +1,9 @@
-//! Counted measurements of the decisions, each compared with its baseline and its bound.
+//! Deterministic measurements of the fleet's algorithms, compared with baselines and regression
+//! bounds.
 //!
-//! Every measurement drives the state machines of `pistachiochute-core` with a fixed seed and
-//! counts events, never wall-clock time, so that a run gives the same verdict each time.
+//! A measurement simulates the state machines of `pistachiochute-core` with a fixed seed and
+//! counts events in virtual time, so that every run gives the same values. The exception is
+//! [`slopes`], which samples processor time and memory and has no bounds.
 
 pub mod actions;
 pub mod bounds;
--- a/crates/measure/src/lists/distribution.rs
+++ b/crates/measure/src/lists/distribution.rs
@@ -1,4 +1,5 @@
-//! Time until a change is in force everywhere, and the traffic that this takes.
+//! Simulation of the distribution of list changes: time until a change is in force on every host,
+//! and the traffic that it causes.
 
 use std::collections::BTreeMap;
 
@@ -12,60 +13,60 @@
 
 const MICROS_PER_S: u64 = 1_000_000;
 
-/// Length of a run, in seconds.
+/// Simulated time after the warm-up, in seconds.
 const DURATION_S: u64 = 300;
 
-/// Time in which the start settles, in seconds.
+/// Warm-up, in seconds. Traffic in it is not counted.
 const WARM_UP_S: u64 = 10;
 
-/// Seconds between two changes: 4,400 a day.
+/// Interval between changes, in seconds, for 4,400 changes a day.
 const CHANGE_PERIOD_S: f64 = 86_400.0 / 4_400.0;
 
-/// Period of the replicas' ticks, in microseconds.
+/// Interval between the ticks of a replica, in microseconds.
 const TICK_US: u64 = 250_000;
 
-/// Part of the messages between domains that are lost.
+/// Probability that a message between domains is lost.
 const LOSS_PROBABILITY: f64 = 0.02;
 
-/// Seconds between two restarts of a host, many times the expected churn.
+/// Interval between restarts of a random host, in seconds. It gives many times the expected churn.
 const RESTART_PERIOD_S: u64 = 7;
 
-/// Calls that a watch counts as, a second: one waiting call a minute.
+/// Store calls a second that a watch counts as: one long poll a minute.
 const CALLS_PER_WATCH_S: f64 = 1.0 / 60.0;
 
-/// Shape of a fleet.
+/// Size of a fleet.
 #[derive(Debug)]
 pub struct Fleet {
     hosts: usize,
     domains: usize,
 }
 
-/// Today's deployments.
+/// Size of current deployments.
 pub const SMALL: Fleet = Fleet {
     hosts: 8,
     domains: 3,
 };
 
-/// The size to design for.
+/// The design size.
 pub const LARGE: Fleet = Fleet {
     hosts: 420,
     domains: 8,
 };
 
-/// What a run gave.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Distribution {
-    /// Longest time from the record of a change until every host has it in force.
+    /// Longest time from the recording of a change in the store until it is in force on every host.
     pub in_force_s: f64,
-    /// Bytes that a host sends a second, averaged over the hosts.
+    /// Bytes a second that a host sends: the mean over the hosts.
     pub bytes_per_host_s: f64,
-    /// Bytes that the busiest host sends a second.
+    /// Bytes a second that the busiest host sends.
     pub busiest_bytes_s: f64,
-    /// Bytes that a host would receive a second if each change sent it the whole lists.
+    /// Bytes a second that a host would receive if each change were a broadcast of the full lists.
     pub broadcast_bytes_per_host_s: f64,
-    /// Reads of the store a second, waiting watches among them.
+    /// Reads a second from the store, including the calls of watches.
     pub store_reads_s: f64,
-    /// Writes of the store a second.
+    /// Writes a second to the store.
     pub store_writes_s: f64,
 }
 
@@ -85,17 +86,19 @@
     replicas: BTreeMap<entity::HostId, Replica>,
     watchers: Vec<entity::HostId>,
     store: Snapshot,
-    /// When each change was recorded.
+    /// Time at which each change was recorded, in microseconds.
     recorded: BTreeMap<Version, u64>,
-    /// When the last host took each change over.
+    /// Time at which each change came into force on the last host, in microseconds.
     in_force: BTreeMap<Version, u64>,
+    /// Bytes that each host has sent since the warm-up.
     sent: BTreeMap<entity::HostId, u64>,
     reads: u64,
     writes: u64,
+    /// Whether the warm-up is over and traffic is counted.
     counting: bool,
 }
 
-/// Runs a fleet.
+/// Simulates a fleet.
 ///
 /// # Errors
 ///
@@ -167,7 +170,7 @@
         let (replica, effects) = Replica::start(time::Time::from_micros(now), view);
         self.watchers.retain(|other| *other != host);
         self.replicas.insert(host, replica);
-        // Nothing has been sent before the start, so that no encoding can fail here.
+        // No message is counted, and so none is encoded, at the initial start. It cannot fail.
         let _ = self.run_effects(now, host, effects);
     }
 
@@ -252,7 +255,7 @@
         Ok(())
     }
 
-    /// Notes that a change is in force, if no host that serves is behind it.
+    /// Records that a change is in force, unless a ready host still has an older version.
     fn record_in_force(&mut self, now: u64, version: Version) {
         let mut others = self.replicas.values();
         let behind = |replica: &Replica| replica.is_ready() && replica.version() < version;
@@ -287,7 +290,7 @@
         Ok(())
     }
 
-    /// Records a change in the store and tells the watchers and the host that made it.
+    /// Records a change in the store and notifies the watchers and the host that made it.
     fn record_change(&mut self, now: u64) -> eyre::Result<()> {
         let plan = population::plan(700 + now / MICROS_PER_S, 700, 64);
         let i = self.rng.random_range(0..43);
@@ -297,7 +300,7 @@
         self.store.version = delta.to;
         self.recorded.insert(delta.to, now);
         self.writes += u64::from(self.counting);
-        // The edit reads the lists once.
+        // An edit reads the lists once before it writes them.
         self.reads += u64::from(self.counting);
         let editor = entity::HostId::from_index(self.rng.random_range(0..self.fleet.hosts));
         for host in self.watchers.clone().into_iter().chain([editor]) {
@@ -310,8 +313,9 @@
         Ok(())
     }
 
-    /// Longest time until a change was in force, counted to the end if it never was. The last
-    /// change is left out if the run ended too soon after it.
+    /// Returns the longest time from the recording of a change until it was in force, in seconds. A
+    /// change that never came into force counts until the end of the run. Changes in the last 10 s
+    /// of the run are excluded.
     fn max_time_to_in_force_s(&self, end: u64) -> f64 {
         let settled = self
             .recorded
--- a/crates/measure/src/lists/event_queue.rs
+++ b/crates/measure/src/lists/event_queue.rs
@@ -1,16 +1,17 @@
-//! Events in the order of their times.
+//! Event queue of the simulations.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Events that are due later. Events of the same time come in the order in which they were added.
+/// Priority queue of events by time. Events with the same time are returned in the order in which
+/// they were scheduled.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<(u64, u64, Unordered<E>)>>,
     added: u64,
 }
 
-/// An event that takes no part in the order.
+/// Wrapper that excludes the event from the ordering of queue entries.
 #[derive(Debug)]
 struct Unordered<E>(E);
 
@@ -35,7 +36,7 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Makes an agenda without events.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self {
             heap: BinaryHeap::new(),
@@ -43,13 +44,13 @@
         }
     }
 
-    /// Adds an event at a time in microseconds.
+    /// Schedules an event at a time in microseconds.
     pub fn schedule(&mut self, at: u64, event: E) {
         self.added += 1;
         self.heap.push(Reverse((at, self.added, Unordered(event))));
     }
 
-    /// Takes the next event and its time.
+    /// Removes the next event and returns it with its time in microseconds.
     pub fn pop(&mut self) -> Option<(u64, E)> {
         let Reverse((at, _, Unordered(event))) = self.heap.pop()?;
         Some((at, event))
--- a/crates/measure/src/lists/fairness.rs
+++ b/crates/measure/src/lists/fairness.rs
@@ -1,4 +1,5 @@
-//! Service of backlogged accounts at one owner, with the fair queue and with FIFO.
+//! Simulation of the queue at an owner of an endpoint: service of backlogged accounts with the fair
+//! queue and with FIFO.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,59 +8,63 @@
 
 use super::population;
 
-/// Owners that are measured, each by itself.
+/// Number of owners that are simulated, independently of each other.
 const OWNERS: u64 = 8;
 
-/// Accounts of each owner. The first surges, the last is mostly idle.
+/// Number of accounts at each owner. The first one surges, and the last one is mostly idle.
 const ACCOUNTS: usize = 20;
 
-/// Requests that an endpoint runs at once.
+/// Number of requests that the endpoint runs concurrently.
 const SLOTS: usize = 8;
 
-/// Rate of the surge over that of another account.
+/// Ratio of the request rate in the surge to that of another account.
 const SURGE_FACTOR: usize = 50;
 
-/// Chance of a request of each account in a millisecond, above what the endpoint serves.
+/// Probability that an account sends a request in a millisecond, for a load above the capacity of
+/// the endpoint.
 const OVERLOAD_PROBABILITY: f64 = 0.005;
 
-/// The same, at two thirds of what the endpoint serves.
+/// The same probability for a load of two thirds of the capacity.
 const LIGHT_LOAD_PROBABILITY: f64 = 0.003;
 
-/// Requests of each account that wait at the start.
+/// Number of requests of each account that are queued at the start.
 const INITIAL_REQUESTS: usize = 16;
 
 /// Largest request, in tokens.
 const MAX_REQUEST_TOKENS: u64 = 8_192;
 
-/// Tokens that one slot serves in a millisecond.
+/// Number of tokens that one slot serves in a millisecond.
 const TOKENS_PER_MS: u64 = 50;
 
-/// Length of a run, in milliseconds.
+/// Simulated time, in milliseconds.
 const DURATION_MS: u64 = 120_000;
 
-/// Milliseconds between two requests of the idle account.
+/// Interval between the requests of the idle account, in milliseconds.
 const IDLE_PERIOD_MS: u64 = 2_000;
 
-/// What the fair queue and FIFO gave. Gaps are differences of the tokens served over the weight,
-/// in largest requests.
+/// Results for the fair queue and for FIFO.
+///
+/// A gap is the difference between two accounts in the tokens served, each divided by the account's
+/// weight. It is given in units of the largest request.
 #[derive(Debug)]
 pub struct Fairness {
-    /// Largest gap between accounts that are backlogged from the start on, by estimated tokens.
+    /// Largest gap between accounts that have been backlogged since the start, with exact
+    /// estimates.
     pub gap: f64,
-    /// The same by the tokens really used, as far as they are known, with estimates that are up
-    /// to an eighth too large.
+    /// Largest gap between the same accounts with estimates that are up to an eighth too large. A
+    /// request counts with its estimate until it ends and with its actual tokens from then on.
     pub gap_corrected: f64,
     /// Largest gap between any two accounts since both became backlogged.
     pub gap_joining: f64,
-    /// The same with FIFO.
+    /// Largest gap with FIFO between accounts that have been backlogged since the start.
     pub gap_fifo: f64,
-    /// Mean wait of the idle account during the surge over that without it.
+    /// Ratio of the mean wait of the idle account with the surge to that without it.
     pub idle_wait_ratio: f64,
-    /// The same with FIFO.
+    /// The same ratio with FIFO.
     pub idle_wait_ratio_fifo: f64,
 }
 
-/// Measures all owners.
+/// Simulates all owners in each scenario.
 pub fn run() -> Fairness {
     let runs = |scenario: Scenario| (0..OWNERS).map(move |seed| run_owner(seed, scenario));
     let gap = |scenario: Scenario| runs(scenario).map(|run| run.gap).fold(0.0, f64::max);
@@ -101,19 +106,19 @@
     }
 }
 
-/// What a run is about.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     queue_kind: QueueKind,
-    /// Rate of the first account over that of another in the second half.
+    /// Ratio of the request rate of the first account to that of another in the second half.
     surge: usize,
-    /// Whether the estimates are exact.
+    /// Whether the estimated tokens of a request equal those that it uses.
     exact_estimates: bool,
-    /// Whether pairs count whose accounts were not backlogged from the start.
+    /// Whether the gap covers accounts that became backlogged after the start.
     include_joining: bool,
-    /// Requests of each account that wait at the start.
+    /// Number of requests of each account that are queued at the start.
     initial_requests: usize,
-    /// Chance of a request of each account in a millisecond.
+    /// Probability that an account sends a request in a millisecond.
     arrival_probability: f64,
 }
 
@@ -123,18 +128,18 @@
     Fifo,
 }
 
-/// A queue of either kind.
+/// Queue with the discipline of a scenario.
 enum Queue {
     Fair(queue::FairQueue<QueuedRequest>),
     Fifo(VecDeque<queue::Entry<QueuedRequest>>),
 }
 
-/// A request in the queue.
+/// A queued request.
 #[derive(Clone, Copy, Debug)]
 struct QueuedRequest {
     account: usize,
     arrived_ms: u64,
-    /// Tokens that it uses, which the estimate exceeds.
+    /// Tokens that the request uses, which are at most the estimate.
     used: u64,
 }
 
@@ -143,17 +148,18 @@
     idle_wait_ms: f64,
 }
 
-/// Service that accounts had since they became backlogged, over their weights.
+/// Weighted service of the accounts, in tokens divided by the account's weight.
 #[derive(Default)]
 struct ServiceTracker {
     /// Service of each account since the start.
     total: BTreeMap<usize, f64>,
-    /// Service of each pair of accounts at the time when both had become backlogged.
+    /// Service of the accounts of each backlogged pair at the time when both had become backlogged.
     since: BTreeMap<(usize, usize), (f64, f64)>,
 }
 
 impl ServiceTracker {
-    /// Starts and ends pairs, and returns the largest gap of those that go on.
+    /// Updates the pairs for the accounts that are backlogged now, and returns the largest gap of
+    /// any pair.
     fn update_gap(&mut self, backlogged: &[usize]) -> f64 {
         let total = |i: usize| self.total.get(&i).copied().unwrap_or_default();
         self.since
@@ -189,7 +195,7 @@
     let mut served = ServiceTracker::default();
     let mut queued = [0_usize; ACCOUNTS];
     let (mut gap, mut idle_waits, mut idle_count) = (0.0_f64, 0.0, 0.0);
-    // Every account but the idle one is backlogged from the start on.
+    // Every account but the idle one is backlogged from the start.
     let mut initially_backlogged: Vec<_> = (0..ACCOUNTS - 1).collect();
     for account in initially_backlogged
         .iter()
@@ -246,8 +252,8 @@
     }
 }
 
-/// Requests of an account in one millisecond. The first surges in the second half, and the last
-/// sends one request every [`IDLE_PERIOD_MS`].
+/// Draws the number of requests of an account in one millisecond. The first account surges in the
+/// second half, and the last one sends one request every [`IDLE_PERIOD_MS`].
 fn arrivals<R>(rng: &mut R, ms: u64, account: usize, scenario: Scenario) -> usize
 where
     R: rand::Rng,
--- a/crates/measure/src/lists/limits/faults.rs
+++ b/crates/measure/src/lists/limits/faults.rs
@@ -1,4 +1,5 @@
-//! Restarts, pauses, cuts and the views that follow them.
+//! Fault injection: restarts, the pause, the partition and message loss, and the views of the live
+//! hosts that result.
 
 use pistachiochute_core::limits::SliceId;
 use pistachiochute_core::{entity, entity::Entity as _};
@@ -21,8 +22,8 @@
         partitioned && host % DOMAINS == PARTITIONED_DOMAIN
     }
 
-    /// Gives every host its view of the live hosts. A cut-off domain and the others do not see
-    /// each other.
+    /// Updates every host's view of the live hosts. The partitioned domain and the other domains do
+    /// not see each other.
     pub(super) fn update_views(&mut self, now: u64) {
         let seen_by = |partitioned: bool| -> Vec<_> {
             let all = population::hosts(HOSTS, DOMAINS).into_iter();
@@ -49,7 +50,8 @@
         });
     }
 
-    /// Stops a host gracefully: it gives its slices up, and comes back as another process.
+    /// Restarts a random host gracefully: it releases its slices, stops after a second and comes
+    /// back as a new process.
     pub(super) fn restart(&mut self, now: u64) {
         self.events
             .schedule(now + RESTART_PERIOD_S * MICROS_PER_S, Event::Restart);
@@ -62,7 +64,7 @@
         self.events.schedule(now + MICROS_PER_S, Event::Stop(host));
     }
 
-    /// Delay of a message, or `None` if it is lost.
+    /// Draws the delay of a message in microseconds. Returns `None` if the message is lost.
     pub(super) fn message_delay(&mut self, now: u64, from: usize, to: usize) -> Option<u64> {
         if Self::is_partitioned(now, from) != Self::is_partitioned(now, to) {
             return None;
--- a/crates/measure/src/lists/limits/mod.rs
+++ b/crates/measure/src/lists/limits/mod.rs
@@ -1,4 +1,5 @@
-//! Over-admission and use of the limits through churn, a crash, a pause and a cut-off domain.
+//! Simulation of distributed rate limits under restarts, a crash, a paused host and a partitioned
+//! domain. It measures over-admission, the used share of the limits and the traffic.
 
 mod faults;
 mod result;
@@ -23,82 +24,88 @@
 const DOMAINS: usize = 8;
 const ACCOUNTS: usize = 430;
 
-/// Requests a second that the limits of all accounts allow together: a sixth of the design size,
-/// so that the run is short.
+/// Request rate that the limits of all accounts allow together. It is a sixth of that of the design
+/// size, to keep the run short.
 const TOTAL_REQUESTS_PER_S: f64 = 700.0;
 
-/// Demand over the limit, for each account.
+/// Ratio of the request rate of each account to its limit.
 const DEMAND_RATIO: f64 = 1.4;
 
-/// Mean tokens that a request uses.
+/// Mean number of tokens that a request uses.
 const MEAN_TOKENS: f64 = 700.0;
 
-/// Skew of the accounts: the limit of the account with rank `r` falls with `r` to this power.
+/// Skew of the accounts' limits: that of the account with rank `r` is proportional to `r` to the
+/// negative of this power.
 const ZIPF_EXPONENT: f64 = 0.7;
 
-/// Length of a run, in seconds.
+/// Simulated time, in seconds.
 const DURATION_S: u64 = 300;
 
-/// Time until the bursts at hand at the start are used up, in seconds.
+/// Warm-up, in seconds, in which the accounts use up their initial bursts. Use in it is not
+/// counted.
 const WARM_UP_S: u64 = 40;
 
-/// Period of the hosts' ticks, in microseconds.
+/// Interval between the ticks of a host, in microseconds.
 const TICK_US: u64 = 500_000;
 
-/// Time until every host's view shows a change of the live hosts, in microseconds.
+/// Time from a change of the live hosts until every host sees it, in microseconds.
 const VIEW_DELAY_US: u64 = 3 * MICROS_PER_S;
 
-/// Part of the messages between domains that are lost.
+/// Probability that a message between domains is lost.
 const LOSS_PROBABILITY: f64 = 0.005;
 
-/// Seconds between two graceful restarts, twenty times the expected churn.
+/// Interval between graceful restarts, in seconds. It gives twenty times the expected churn.
 const RESTART_PERIOD_S: u64 = 10;
 
-/// When a host crashes for good.
+/// Time at which a host crashes and does not restart, in seconds.
 const CRASH_S: u64 = 80;
 
-/// When a host is paused, and until when.
+/// Start and end of the pause of a host, in seconds.
 const PAUSE_S: (u64, u64) = (100, 125);
 
-/// When a domain is cut off from the store and from the other domains, and until when.
+/// Start and end of the partition that separates a domain from the store and from the other
+/// domains, in seconds.
 const PARTITION_S: (u64, u64) = (150, 240);
 
-/// The domain that is cut off.
+/// Index of the partitioned domain.
 const PARTITIONED_DOMAIN: usize = 2;
 
-/// Hosts to which these things happen.
+/// Index of the host that crashes.
 const CRASHED_HOST: usize = 17;
+
+/// Index of the host that is paused.
 const PAUSED_HOST: usize = 34;
 
-/// What a run gave.
+/// Result of a run.
 #[derive(Debug)]
 pub struct LimitUsage {
-    /// Largest charge of an account over any window beyond rate and burst: requests and tokens.
+    /// Requests and tokens beyond rate and burst, as the largest excess of any account over any
+    /// window of time.
     pub over_admission: [f64; 2],
-    /// Part of the limits that was used, summed over the accounts.
+    /// Used share of the limits: the mean over the accounts, weighted by their limits.
     pub use_ratio: f64,
-    /// The same, averaged over the accounts however small they are.
+    /// Used share of the limits: the unweighted mean over the accounts.
     pub mean_use_ratio: f64,
-    /// The same for the account with the least.
+    /// Used share of the limits: the minimum over the accounts.
     pub min_use_ratio: f64,
-    /// Part of the limits that a static split over the hosts would have used.
+    /// Share of the limits that a static split over the hosts would have used.
     pub static_split_ratio: f64,
-    /// Bytes that a host sends a second for credit, averaged over the hosts.
+    /// Bytes a second that a host sends to request and grant credit: the mean over the hosts.
     pub bytes_per_host_s: f64,
-    /// Reads of the table a second.
+    /// Reads a second from the table of claims in the store.
     pub store_reads_s: f64,
-    /// Writes of the table a second.
+    /// Writes a second to the table of claims in the store.
     pub store_writes_s: f64,
 }
 
 enum Event {
     Tick(usize),
     Arrival(usize),
-    /// An ask arrives: asking host, host asked, and slice.
+    /// A credit request arrives: sending host, receiving host, slice and request.
     CreditRequest(usize, usize, SliceId, CreditRequest),
     Grant(usize, u64, Grant),
     RequestEnd(usize, u64, Permit, units::Tokens),
-    /// A read arrives at the store: host, process, time of sending and shard.
+    /// A read arrives at the store: host, boot, time of sending and shard.
     Read(usize, u64, u64, u8),
     ReadAnswer(usize, u64, u64, u8, CasVersion, Box<Shard>),
     Write(usize, u64, u8, CasVersion, Box<Shard>),
@@ -114,11 +121,11 @@
     boot: u64,
     skew_ppm: i64,
     alive: bool,
-    /// Side of the cut that its view of the live hosts shows.
+    /// Side of the partition that its view of the live hosts shows: 1 is the partitioned domain.
     side: usize,
 }
 
-/// Charges of one account: true time, requests and tokens.
+/// Charges of one account: true time in microseconds, requests and tokens.
 type AccountCharges = Vec<(u64, i64, i64)>;
 
 struct Simulation {
@@ -128,24 +135,24 @@
     plans: Vec<lists::Plan>,
     names: Vec<name::AccountName>,
     index: BTreeMap<name::AccountName, usize>,
-    /// Mean time between two requests of each account, in microseconds.
+    /// Mean time between the requests of each account, in microseconds.
     mean_gaps_us: Vec<f64>,
     table: Vec<(CasVersion, Shard)>,
     charges: Vec<AccountCharges>,
-    /// Requests and tokens that each account used after the start has settled.
+    /// Requests and tokens that each account used after the warm-up.
     used: Vec<(u64, u64)>,
-    /// Host that should hold each slice, by the view on each side of the cut.
+    /// Preferred holder of each slice, according to the view on each side of the partition.
     candidates: [BTreeMap<SliceId, entity::HostId>; 2],
     last_boot: u64,
     requests: u128,
     bytes: u64,
     reads: u64,
     writes: u64,
-    /// Arrivals of each account at each host, for the static split.
+    /// Arrivals by account and host after the warm-up.
     arrivals: BTreeMap<(usize, usize), u64>,
 }
 
-/// Runs the fleet.
+/// Simulates the fleet.
 pub fn run() -> LimitUsage {
     let mut simulation = Simulation::new();
     let end = DURATION_S * MICROS_PER_S;
@@ -168,7 +175,7 @@
         let limit_s = |i: usize| (TOTAL_REQUESTS_PER_S * weights[i] / sum).max(0.1);
         let plan = |i: usize| {
             let requests = (limit_s(i) * 60.0).round() as u64;
-            // Requests are scarce for even accounts and tokens for odd ones.
+            // Even accounts are limited by their request rate and odd ones by their token rate.
             let tokens = if i.is_multiple_of(2) { 2_000 } else { 350 };
             population::plan(requests * (1 + i as u64 % 2), tokens, 4 * requests.max(16))
         };
@@ -250,7 +257,7 @@
         }
     }
 
-    /// Time on the clock of a host.
+    /// Returns the reading of a host's clock at the true time `truth`.
     fn clock(&self, host: usize, truth: u64) -> time::Time {
         let base = 1_000_000_000 + truth + host as u64 * 1_000_003;
         let skew = base as i64 * self.hosts[host].skew_ppm / 1_000_000;
@@ -317,7 +324,7 @@
         }
     }
 
-    /// Whether a process still runs and is not paused.
+    /// Whether the process with this boot number still runs on the host and is not paused.
     fn is_running(&self, now: u64, host: usize, boot: u64) -> bool {
         let host_state = &self.hosts[host];
         host_state.alive && host_state.boot == boot && !Self::is_paused(now, host)
@@ -340,7 +347,7 @@
         let gap = rand_distr::Exp::new(1.0 / self.mean_gaps_us[account]).expect("a positive rate");
         let next = now + gap.sample(&mut self.rng) as u64 + 1;
         self.events.schedule(next, Event::Arrival(account));
-        // Half of the requests of an account come in at a few hosts of its own.
+        // Half of an account's requests arrive at eight hosts that are specific to the account.
         let host = if self.rng.random_bool(0.5) {
             (account * 31 + self.rng.random_range(0..8) * 53) % HOSTS
         } else {
@@ -415,7 +422,8 @@
             .handle_request(time, from_id, request, plan, &authority);
         let Some(grant) = grant else { return };
         if grant.shortage != Some(Shortage::NotHolder) {
-            // The estimate stays charged until the holder of the slice has taken the correction.
+            // An admission charges the estimated cost. The difference to the actual use counts only
+            // once the holder of the slice has processed it.
             let corrected = request.overrun.0 as i64 - request.refund.0 as i64;
             self.charges[self.index[&request.account]].push((now, 0, corrected));
         }
--- a/crates/measure/src/lists/limits/result.rs
+++ b/crates/measure/src/lists/limits/result.rs
@@ -1,4 +1,4 @@
-//! What a run gave: use of the limits and charges beyond them.
+//! Result of a run: used share of the limits, and charges beyond them.
 
 use pistachiochute_core::{limits, lists, units};
 
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Part of an account's limit, or of its demand if that was less, that was used: of requests or of tokens, whichever is scarcer.
+    /// Returns the share that an account used of its limit, or of its demand if that was lower. Of
+    /// the shares for requests and for tokens it is the larger.
     pub(super) fn account_use_ratio(&self, account: usize, span: f64) -> f64 {
         let plan = &self.plans[account];
         let (requests, tokens) = self.used[account];
@@ -49,7 +50,8 @@
         requests.max(tokens)
     }
 
-    /// Part of the limits that hosts with an equal part each would use of the same arrivals.
+    /// Returns the share of the limits that would be used for the same arrivals if every host had
+    /// an equal, fixed part of each limit.
     pub(super) fn static_split_ratio(&self, span: f64) -> f64 {
         let mut used = vec![0.0; ACCOUNTS];
         for ((account, _), arrivals) in &self.arrivals {
@@ -62,7 +64,7 @@
         self.weighted_mean(&ratios)
     }
 
-    /// Mean of a figure of each account, weighted by the account's limit.
+    /// Returns the mean of one value per account, weighted by the accounts' limits.
     pub(super) fn weighted_mean(&self, values: &[f64]) -> f64 {
         let weights = self.mean_gaps_us.iter().map(|gap| 1.0 / gap);
         let sum: f64 = weights.clone().sum();
@@ -74,7 +76,8 @@
     }
 }
 
-/// Largest charge over any window beyond rate and burst, as requests and tokens.
+/// Returns the largest charge beyond rate and burst over any window of time, as requests and
+/// tokens.
 pub(super) fn over_admission(plan: &lists::Plan, charges: &AccountCharges) -> [f64; 2] {
     let bursts = [
         limits::request_burst(plan.requests_per_minute).0,
@@ -83,7 +86,8 @@
     let rates = [plan.requests_per_minute.0, plan.tokens_per_minute.0];
     let mut over_admission = [0.0; 2];
     for kind in 0..2 {
-        // A bucket that starts full shows the worst window: it is below zero by the excess.
+        // A token bucket that starts full and may become negative finds the worst window: its
+        // lowest level is the negative of the largest excess.
         let full = i128::from(bursts[kind]) * 60_000_000;
         let (mut level, mut last, mut worst) = (full, 0, 0_i128);
         for (at, requests, tokens) in charges {
--- a/crates/measure/src/lists/mod.rs
+++ b/crates/measure/src/lists/mod.rs
@@ -1,5 +1,5 @@
-//! Limits, fairness and distribution of the lists, against FIFO queues, a static split of limits
-//! and the broadcast of whole lists.
+//! Measurements of rate limits, fair queues and the distribution of lists. The baselines are a
+//! static split of the limits over the hosts, FIFO queues and a broadcast of the full lists.
 
 mod distribution;
 mod event_queue;
@@ -9,7 +9,7 @@
 
 use crate::figure;
 
-/// Measures the lists, the limits and the queues.
+/// Runs the measurements of the `lists` group.
 ///
 /// # Errors
 ///
--- a/crates/measure/src/lists/population.rs
+++ b/crates/measure/src/lists/population.rs
@@ -1,13 +1,14 @@
-//! Hosts, accounts and the bytes of their messages at the two sizes.
+//! Hosts, accounts and plans of the simulated fleets, and the sizes of their messages.
 
 use pistachiochute_core::{entity, entity::Entity as _, lists, name, units};
 use pistachiochute_messages::codec;
 
-/// Bytes that each end of an exchange sends besides the messages: three TCP/IP packets of 52
-/// bytes, four h2 frame headers, a window update and an indexed header block.
+/// Bytes that each end of an exchange sends besides the messages: the headers of three TCP/IP
+/// packets of 52 bytes, four h2 frame headers, the payload of a window update and an indexed
+/// header block.
 pub const EXCHANGE_OVERHEAD_BYTES: u64 = 3 * 52 + 4 * 9 + 4 + 8;
 
-/// Bytes of a message in its frame.
+/// Returns the encoded size of a message in bytes.
 ///
 /// # Errors
 ///
@@ -19,7 +20,7 @@
     Ok(codec::encode(message)?.len() as u64)
 }
 
-/// The hosts of a fleet, spread over its domains.
+/// Returns the hosts of a fleet, assigned to its domains in turn.
 pub fn hosts(hosts: usize, domains: usize) -> Vec<(entity::HostId, entity::DomainId)> {
     let host = |i| {
         (
@@ -30,17 +31,18 @@
     (0..hosts).map(host).collect()
 }
 
-/// Name of an account.
+/// Returns the name of an account.
 pub fn account_name(i: usize) -> name::AccountName {
     format!("account-{i}").parse().expect("a valid name")
 }
 
-/// Name of the plan of an account.
+/// Returns the name of a plan.
 pub fn plan_name(i: usize) -> name::PlanName {
     format!("plan-{i}").parse().expect("a valid name")
 }
 
-/// Plan with limits that make requests scarce, or tokens.
+/// Returns a plan with the given request rate, the token rate that follows from the tokens per
+/// request, and the given limit on requests in flight.
 pub fn plan(requests_per_minute: u64, tokens_per_request: u64, in_flight: u64) -> lists::Plan {
     lists::Plan {
         models: vec!["receipt-vl".parse().expect("a valid name")],
@@ -54,7 +56,8 @@
     }
 }
 
-/// Lists of the design size: 430 accounts with two keys each, and a plan for each tenth account.
+/// Returns lists of the design size: 430 accounts with two keys each, and one plan for every ten
+/// accounts.
 pub fn lists() -> lists::Lists {
     let mut lists = lists::Lists::default();
     for i in 0..43 {
--- a/crates/measure/src/membership/mod.rs
+++ b/crates/measure/src/membership/mod.rs
@@ -1,4 +1,5 @@
-//! Control traffic of the membership, and the time until a leaving endpoint gets no new work.
+//! Measurements of the membership protocol: its control traffic, and the time until every host
+//! knows that an endpoint is leaving and gives it no new work.
 
 mod simulation;
 
@@ -8,33 +9,33 @@
 
 use crate::figure;
 
-/// Time that is counted, after the start has settled.
+/// Time in which bytes are counted, after the warm-up.
 const COUNTING_PERIOD: Duration = Duration::from_secs(60);
 
-/// Time in which the start settles.
+/// Time before the measurement starts, in which the membership stabilizes.
 const WARM_UP: Duration = Duration::from_secs(5);
 
-/// Time between two hosts that leave while bytes are counted. One in 10 s is twenty times the
-/// churn of the size to design for.
+/// Interval between departures of hosts while bytes are counted. One in 10 s is twenty times the
+/// expected churn at the design size.
 const LEAVE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Seeds for which the spread of a leaving endpoint is timed.
+/// Number of seeds for which the propagation of an endpoint's departure is timed.
 const SEED_COUNT: u64 = 40;
 
-/// Messages that are lost while the spread is timed, as a fraction.
+/// Probability that a message is lost while the propagation is timed.
 const LOSS_PROBABILITY: f64 = 0.05;
 
-/// Longest time for which a spread is followed.
+/// Time after which the simulation stops waiting for the propagation to complete.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Shape of a fleet.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet {
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
-    /// Failure domains of each region.
+    /// Number of failure domains in each region.
     pub domains: usize,
-    /// Hosts of each domain.
+    /// Number of hosts in each failure domain.
     pub hosts: usize,
 }
 
@@ -52,28 +53,28 @@
     }
 }
 
-/// Today's deployments: eight hosts over three domains, rounded up.
+/// Size of current deployments: eight hosts in three domains, rounded up to three per domain.
 const CURRENT_SIZE: Fleet = Fleet {
     regions: 1,
     domains: 3,
     hosts: 3,
 };
 
-/// One domain of the size to design for.
+/// One domain at the design size.
 const ONE_DOMAIN: Fleet = Fleet {
     regions: 1,
     domains: 1,
     hosts: 52,
 };
 
-/// The size to design for: 424 hosts in two regions of four domains.
+/// The design size, rounded up to 424 hosts in two regions of four domains.
 const DESIGN_SIZE: Fleet = Fleet {
     regions: 2,
     domains: 4,
     hosts: 53,
 };
 
-/// Counts the control traffic and times the spread of a leaving endpoint.
+/// Runs the measurements of the `membership` group.
 ///
 /// # Errors
 ///
@@ -87,7 +88,7 @@
     ])
 }
 
-/// Bytes a second of the busiest host in its busier direction, in a fleet with churn.
+/// Returns the bytes a second of the busiest host in its busier direction, in a fleet with churn.
 ///
 /// # Errors
 ///
@@ -107,7 +108,8 @@
     Ok(simulation.busiest_bytes() as f64 / COUNTING_PERIOD.as_secs_f64())
 }
 
-/// The baseline is a probe of every host of the fleet by every other each second.
+/// Returns the reading of control traffic. In the baseline, every host probes every other host of
+/// the fleet each second.
 fn control_bytes_reading(name: &'static str, fleet: Fleet) -> eyre::Result<figure::Reading> {
     let others = (fleet.len() - 1) as f64;
     Ok(figure::Reading {
@@ -118,7 +120,8 @@
     })
 }
 
-/// The baseline is the spread by the periodic probes alone.
+/// Returns the reading of the time until every host of a domain knows that an endpoint is leaving.
+/// In the baseline, only the periodic probes propagate the change.
 fn leaving_reading() -> eyre::Result<figure::Reading> {
     let push_config = membership::Config::default();
     let periodic_config = membership::Config {
@@ -133,7 +136,8 @@
     })
 }
 
-/// Longest time over the seeds until every host of a domain knows that an endpoint leaves.
+/// Returns the longest time in seconds, over the seeds, until every host of a domain knows that an
+/// endpoint is leaving.
 fn max_propagation_time_s(cfg: membership::Config) -> eyre::Result<f64> {
     let endpoint = entity::EndpointId::from_index(0);
     let mut slowest = Duration::ZERO;
--- a/crates/measure/src/membership/simulation.rs
+++ b/crates/measure/src/membership/simulation.rs
@@ -1,4 +1,4 @@
-//! Views of the hosts of a fleet, with messages between them that take one step.
+//! Simulation of the membership of a fleet in steps of fixed length. A message takes one step.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,36 +10,37 @@
 
 use crate::membership::Fleet;
 
-/// Time of one step, which a message takes in one direction.
+/// Length of a step, which is also the one-way delay of a message.
 pub const STEP: Duration = Duration::from_millis(50);
 
-/// Time after which a message without an answer has failed.
+/// Time after which a probe without an answer has failed.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Headers of one TCP/IPv4 packet with timestamps, in bytes.
+/// Size of the headers of a TCP/IPv4 packet with timestamps, in bytes.
 const PACKET_HEADER_BYTES: u64 = 52;
 
-/// Packets that one end sends for one exchange: its data, an acknowledgement and a window update.
+/// Number of packets that each end sends in an exchange: data, acknowledgement and window update.
 const PACKETS_PER_EXCHANGE: u64 = 3;
 
-/// Header of an h2 frame, in bytes.
+/// Size of an h2 frame header, in bytes.
 const FRAME_HEADER_BYTES: u64 = 9;
 
-/// h2 frames that one end sends for one exchange beside its data: headers, the end of the stream
-/// and a window update with its payload of 4 bytes.
+/// Size in bytes of the h2 frames other than data that each end sends in an exchange: headers, end
+/// of stream, and a window update with its payload of 4 bytes. The header block is extra.
 const CONTROL_FRAMES_BYTES: u64 = 3 * FRAME_HEADER_BYTES + 4;
 
-/// Header block of a request or response whose fields are in the dynamic table, in bytes.
+/// Size of the header block of a request or response whose fields are in the dynamic table, in
+/// bytes.
 const HEADER_BLOCK_BYTES: u64 = 8;
 
-/// Bytes that one end of an exchange sends for a message.
+/// Returns the bytes that one end of an exchange sends for a message, with all headers.
 fn wire_bytes(message: &control::Message) -> eyre::Result<u64> {
     let body = codec::encode(message)?.len() as u64;
     let frames = FRAME_HEADER_BYTES + body + CONTROL_FRAMES_BYTES + HEADER_BLOCK_BYTES;
     Ok(frames + PACKETS_PER_EXCHANGE * PACKET_HEADER_BYTES)
 }
 
-/// Bytes that each end sends for a probe that tells nothing.
+/// Returns the bytes that each end sends in the exchange of a probe without updates.
 pub fn empty_exchange_bytes() -> eyre::Result<u64> {
     let from = entity::HostId::from_index(0);
     let updates = smallvec::SmallVec::new();
@@ -57,15 +58,15 @@
     is_answer: bool,
 }
 
-/// Views of the hosts of a fleet.
+/// A simulated fleet, with the membership view of each host.
 pub struct Simulation {
     now: time::Time,
     views: Vec<membership::Membership>,
     rng: rand_chacha::ChaCha8Rng,
     loss: f64,
-    /// Messages by the time of their arrival.
+    /// Messages in flight, by time of arrival.
     in_flight: BTreeMap<time::Time, Vec<InFlight>>,
-    /// Exchanges that will fail, by time: the sender and the host it probed.
+    /// Exchanges that will time out, by time: the sender and the host that it probed.
     timeouts: BTreeMap<time::Time, Vec<(usize, usize)>>,
     sent: Vec<u64>,
     received: Vec<u64>,
@@ -124,7 +125,7 @@
         self.received.fill(0);
     }
 
-    /// Bytes of the busiest host in its busier direction.
+    /// Returns the bytes of the busiest host in its busier direction.
     pub fn busiest_bytes(&self) -> u64 {
         self.sent
             .iter()
--- a/crates/measure/tests/journal_search.rs
+++ b/crates/measure/tests/journal_search.rs
@@ -1,12 +1,12 @@
-//! The journal of actions holds its promises in every order of steps, and the search finds the
-//! shortcuts that break them.
+//! The action journal keeps its guarantees in every order of steps, and the search detects faulty
+//! variants of the protocol.
 
 use pistachiochute_measure::actions::{answers, model, schedules, scopes, search};
 
-/// More states than any of these searches reaches.
+/// Limit on the states of a search, above what any of these searches needs.
 const MAX_STATES: u64 = 1_000_000;
 
-/// Promises that a shortcut breaks in the small scopes.
+/// Returns the violations that searches of the small scopes find in a variant.
 fn violations_of(variant: model::Variant) -> Vec<model::Violation> {
     let explore = |(_, scope): &(&str, model::Scope)| search::search(*scope, variant, MAX_STATES);
     let found = scopes::SMALL.iter().map(explore);
