--- a/crates/core/src/journal/record.rs
+++ b/crates/core/src/journal/record.rs
@@ -63,8 +63,7 @@
     /// The host that reserved the attempt may dispatch it or has dispatched it.
     Reserved {
         /// Time after which the attempt must not be dispatched.
-        #[serde(rename = "until")]
-        not_after: UnixMillis,
+        until: UnixMillis,
     },
     /// The attempt provably did not run. Another attempt may replace it.
     NotRun,
--- a/crates/core/src/journal/shard_state.rs
+++ b/crates/core/src/journal/shard_state.rs
@@ -143,7 +143,7 @@
     match &record.state {
         State::Reserved { .. } if record.attempt == begin.attempt => Disposition::Confirmed,
         State::Reserved { .. } if !waiting.read_since_arrival => Disposition::ReadFirst,
-        State::Reserved { not_after } => refuse_pending(*not_after, clock, skew_ms),
+        State::Reserved { until } => refuse_pending(*until, clock, skew_ms),
         State::NotRun => reserve_unless_taken(next, begin),
         State::Unknown => refuse(
             reason::Refusal::ActionUnknown,
@@ -212,7 +212,7 @@
         fingerprint,
         attempt: begin.attempt,
         state: State::Reserved {
-            not_after: begin.not_after,
+            until: begin.not_after,
         },
     }
 }
--- a/crates/core/src/routing/report.rs
+++ b/crates/core/src/routing/report.rs
@@ -23,6 +23,7 @@
     /// Host that sends it.
     pub from: entity::HostId,
     /// Whether the host sends a report immediately on every change from now on.
+    #[serde(rename = "prompt")]
     pub pushes_changes: bool,
     /// Loads of the endpoints that the host owns.
     pub loads: SmallVec<[Load; 4]>,
@@ -30,5 +31,6 @@
     pub claims: SmallVec<[entity::EndpointId; 4]>,
     /// Residual load of the host at endpoints that the receiver claims and that the host does not
     /// own. The host admits no more work to them.
+    #[serde(rename = "left")]
     pub residual: SmallVec<[Load; 4]>,
 }
--- a/crates/messages/src/forward.rs
+++ b/crates/messages/src/forward.rs
@@ -31,8 +31,10 @@
     /// Chat that the request belongs to, if any.
     pub chat: Option<request::ChatKey>,
     /// Whether the request may be sent again although an earlier attempt may have run.
+    #[serde(rename = "repeat")]
     pub idempotency: request::Idempotency,
     /// Idempotency key that the caller sent.
+    #[serde(rename = "key")]
     pub idempotency_key: Option<uuid::Uuid>,
     /// Estimated cost of prompt and answer together, in tokens.
     pub cost: units::Tokens,
