--- a/crates/standins/src/engine/api.rs
+++ b/crates/standins/src/engine/api.rs
@@ -31,7 +31,7 @@
 
 /// Body of a chat request; other fields of the API are ignored.
 #[derive(Debug, serde::Deserialize)]
-// `expecting` keeps the text of the error answer to a body of another JSON type.
+// `expecting` keeps the text of the error answer to a scalar JSON body.
 #[serde(expecting = "struct Body")]
 pub(super) struct ChatRequest {
     pub(super) model: String,
--- a/crates/standins/src/engine/commands.rs
+++ b/crates/standins/src/engine/commands.rs
@@ -41,7 +41,7 @@
 
 /// A command with its fencing number: the body of `POST /orders`.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-// `expecting` keeps the text of the error answer to a body of another JSON type.
+// `expecting` keeps the text of the error answer to a scalar JSON body.
 #[serde(deny_unknown_fields, expecting = "struct Ordered")]
 pub struct FencedCommand {
     /// Fencing number; the larger of two is the newer.
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -282,8 +282,8 @@
         ..Default::default()
     })
     .unwrap();
-    let order = json!({ "fence": 1, "order": { "load_model": "m1" } });
-    answer(engine.addr(), "/orders", &order);
+    let command = json!({ "fence": 1, "order": { "load_model": "m1" } });
+    answer(engine.addr(), "/orders", &command);
     wait(|| engine.state().models.len() == 1);
     assert_eq!(store.counters().reads.values().sum::<u64>(), 2);
     engine.close();
