--- a/crates/measure/src/actions/answers.rs
+++ b/crates/measure/src/actions/answers.rs
@@ -65,7 +65,7 @@
     request::RequestId(uuid::Uuid::from_u128(u128::from(request)))
 }
 
-struct Trial {
+struct Delivery {
     rng: rand_chacha::ChaCha8Rng,
     request: u64,
     stream: bool,
@@ -84,7 +84,7 @@
     let mut tally = Tally::default();
     for request in 0..requests {
         let stream = request.is_multiple_of(2);
-        let mut trial = Trial {
+        let mut delivery = Delivery {
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed ^ request),
             request,
             stream,
@@ -94,14 +94,14 @@
             run: 0,
             resumed: false,
         };
-        trial.attempts();
-        trial.add_to(&mut tally);
+        delivery.run_attempts();
+        delivery.add_to(&mut tally);
     }
     tally
 }
 
-impl Trial {
-    fn attempts(&mut self) {
+impl Delivery {
+    fn run_attempts(&mut self) {
         for number in 0..MAX_ATTEMPTS {
             let after = self.assembler.begin_attempt(number);
             match after {
@@ -115,7 +115,7 @@
                 after.unwrap_or(0),
                 self.stream,
             );
-            let failure = self.attempt(&frames);
+            let failure = self.run_attempt(&frames);
             self.stray.extend(frames);
             match failure.map(|failure| failure.recovery) {
                 Some(retry::Recovery::Restart | retry::Recovery::Resume) => {}
@@ -125,7 +125,7 @@
     }
 
     /// Sends the frames of an attempt with faults and returns its failure, if it failed.
-    fn attempt(&mut self, frames: &[answer::Frame]) -> Option<retry::Failure> {
+    fn run_attempt(&mut self, frames: &[answer::Frame]) -> Option<retry::Failure> {
         self.assembler.mark_sent();
         for frame in frames {
             if self.draw_fault() {
--- a/crates/measure/src/actions/load.rs
+++ b/crates/measure/src/actions/load.rs
@@ -53,8 +53,11 @@
 
 #[derive(Clone, Debug)]
 enum QueuedEvent {
+    /// An action arrives at a host.
     Arrival,
+    /// A call of the given host arrives at the key-value service.
     AtService(usize, journal::Effect),
+    /// An event for the journal of the given host is due.
     AtHost(usize, journal::Event),
 }
 
--- a/crates/measure/src/actions/model.rs
+++ b/crates/measure/src/actions/model.rs
@@ -51,7 +51,7 @@
     pub phases: &'static [usize],
 }
 
-/// True time of each phase, in milliseconds since the epoch. Time stands still within a phase.
+/// True time of each phase, in milliseconds since the epoch. Time does not advance within a phase.
 ///
 /// The second phase is after the deadline of attempts that begin in the first. In the third, only
 /// hosts whose clocks are behind accept the key. In the last, no host accepts it, and hosts whose
--- a/crates/measure/src/actions/step.rs
+++ b/crates/measure/src/actions/step.rs
@@ -71,12 +71,12 @@
                 if self.remaining.requests == 0 {
                     continue;
                 }
-                let begin = |other_body| Step::SendRequest {
+                let send = |other_body| Step::SendRequest {
                     host,
                     key,
                     other_body,
                 };
-                steps.extend(bodies.into_iter().flatten().map(begin));
+                steps.extend(bodies.into_iter().flatten().map(send));
             }
         }
         if self.remaining.cancels > 0 {
--- a/crates/measure/src/lists/distribution.rs
+++ b/crates/measure/src/lists/distribution.rs
@@ -71,11 +71,17 @@
 }
 
 enum Event {
+    /// The timers of a replica are due.
     Tick(entity::HostId),
+    /// A message arrives: sender, receiver and message.
     Message(entity::HostId, entity::HostId, message::Message),
+    /// A host learns of a change that was recorded in the store.
     Recorded(entity::HostId, Delta),
+    /// The answer of the store to a read arrives at a host.
     Answer(entity::HostId, StoreAnswer),
+    /// An operator changes the lists.
     Change,
+    /// A random host restarts.
     Restart,
 }
 
--- a/crates/measure/src/lists/limits/mod.rs
+++ b/crates/measure/src/lists/limits/mod.rs
@@ -99,18 +99,28 @@
 }
 
 enum Event {
+    /// The timers of a host are due.
     Tick(usize),
+    /// A request of an account arrives at the fleet.
     Arrival(usize),
     /// A credit request arrives: sending host, receiving host, slice and request.
     CreditRequest(usize, usize, SliceId, CreditRequest),
+    /// A grant arrives: receiving host, its boot when it sent the request, and grant.
     Grant(usize, u64, Grant),
+    /// An admitted request ends: host, boot, permit and tokens used.
     RequestEnd(usize, u64, Permit, units::Tokens),
     /// A read arrives at the store: host, boot, time of sending and shard.
     Read(usize, u64, u64, u8),
+    /// The answer to a read arrives: host, boot, time of sending of the read, shard, and its
+    /// version and content.
     ReadAnswer(usize, u64, u64, u8, CasVersion, Box<Shard>),
+    /// A compare-and-swap arrives at the store: host, boot, shard, expected version and content.
     Write(usize, u64, u8, CasVersion, Box<Shard>),
+    /// A graceful restart of a random host is due.
     Restart,
+    /// The process on a host stops.
     Stop(usize),
+    /// The views of the live hosts are updated.
     ViewChange,
 }
 
@@ -137,6 +147,7 @@
     index: BTreeMap<name::AccountName, usize>,
     /// Mean time between the requests of each account, in microseconds.
     mean_gaps_us: Vec<f64>,
+    /// Table of claims in the store: version and content of each shard.
     table: Vec<(CasVersion, Shard)>,
     charges: Vec<AccountCharges>,
     /// Requests and tokens that each account used after the warm-up.
@@ -144,7 +155,9 @@
     /// Preferred holder of each slice, according to the view on each side of the partition.
     candidates: [BTreeMap<SliceId, entity::HostId>; 2],
     last_boot: u64,
+    /// Number of requests so far, from which request ids are derived.
     requests: u128,
+    /// Bytes sent for credit by all hosts.
     bytes: u64,
     reads: u64,
     writes: u64,
